--- a/src/adapter/main.rs
+++ b/src/adapter/main.rs
@@ -138,7 +138,7 @@
                 };
                 let news = match mode {
                     ListMode::Failed => Membership::Failed {
-                        unheard: Duration::ZERO,
+                        silent_for: Duration::ZERO,
                         // It does not say whether the call was taken.
                         failure: DiscoveryFailure::NotConnected,
                     },
--- a/src/adapter/mod.rs
+++ b/src/adapter/mod.rs
@@ -158,12 +158,12 @@
         Ok(match self.text(field)? {
             "200" => Outcome::Ok,
             "502" => Outcome::Error,
-            "429" => Outcome::Full,
+            "429" => Outcome::NotProcessed,
             "408" => Outcome::TimedOut,
             "521" => Outcome::ConnectFailed,
             "520" => Outcome::Reset,
             "444" => Outcome::Cancelled,
-            "409" => Outcome::Moot,
+            "409" => Outcome::NotSent,
             other => return Err(self.error(field, format!("`{other}` is no known outcome"))),
         })
     }
@@ -287,7 +287,7 @@
                 key,
                 client_retry: attrs & 2 != 0,
                 write: attrs & 4 != 0,
-                passing: false,
+                streamed_body: false,
             });
             (Some(name), event)
         }
--- a/src/api/actions.rs
+++ b/src/api/actions.rs
@@ -64,26 +64,26 @@
 
 /// What operators may ask of a balancer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Census {
+pub struct BalancerStats {
     /// Endpoints in the list.
     pub members: usize,
     /// Those among them that get nothing new now: draining, suspended, or avoided for their failures.
     pub unavailable: usize,
     /// Requests held until there is room.
-    pub held: usize,
+    pub queued: usize,
     /// Requests held since the start as the lease on the endpoint list had run out.
-    pub held_without_lease: u64,
+    pub queued_without_lease: u64,
     /// For how long that lease has been out of force since the start.
-    pub lease_lapsed: Duration,
+    pub time_without_lease: Duration,
     /// Of the own zone, and of all others together.
-    pub windows: [WindowCensus; 2],
+    pub windows: [WindowStats; 2],
 }
 
 /// How many own attempts are out, and how many may be.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct WindowCensus {
+pub struct WindowStats {
     /// Attempts that may be out.
     pub size: f64,
     /// Attempts that are.
-    pub out: u32,
+    pub in_flight: u32,
 }
--- a/src/api/endpoints.rs
+++ b/src/api/endpoints.rs
@@ -43,7 +43,7 @@
     /// Changed entries only.
     Delta(Vec<EndpointInfo>),
     /// What the discovery which was moved from had still to tell; no watch is up by it.
-    Late {
+    FromPreviousAddress {
         /// The complete list: what is missing from it is gone.
         whole: bool,
         /// Its entries.
@@ -60,7 +60,7 @@
     /// A call to discovery failed or the subscription broke; the list stays.
     Failed {
         /// How long the watch that broke had brought nothing; zero where that is not known.
-        unheard: Duration,
+        silent_for: Duration,
         /// What failed.
         failure: DiscoveryFailure,
     },
--- a/src/api/events.rs
+++ b/src/api/events.rs
@@ -11,14 +11,14 @@
     /// A request arrived and is owed one final answer.
     Request(Request),
     /// The body of a request that was passing has come, and gone on, whole.
-    Whole {
+    BodyForwarded {
         /// The request.
         request: RequestId,
         /// Time until the client gives it up.
         time_left: Duration,
     },
     /// The body of a request has begun to go out, and can't be sent again.
-    Spent(RequestId),
+    BodySendStarted(RequestId),
     /// A streamed answer has begun; the client owns the attempt now.
     StreamStarted {
         /// The request.
@@ -60,12 +60,12 @@
         at: Duration,
     },
     /// So many processes are this balancer together from now on, and part its requests among them.
-    Shared {
+    ProcessCountChanged {
         /// This one included.
         processes: u32,
     },
     /// So many balancers share the work of this tier from now on: each of them has a part in so many.
-    Balancers {
+    BalancerCountChanged {
         /// This one included; in place of [`Settings::balancers`](crate::Settings::balancers).
         living: u32,
     },
@@ -97,8 +97,8 @@
     pub client_retry: bool,
     /// It writes.
     pub write: bool,
-    /// Its body is still coming and passes through as it comes: its time runs from [`Event::Whole`](crate::Event::Whole) on.
-    pub passing: bool,
+    /// Its body is still coming and passes through as it comes: its time runs from [`Event::BodyForwarded`](crate::Event::BodyForwarded) on.
+    pub streamed_body: bool,
 }
 
 /// How an attempt ended.
@@ -128,7 +128,7 @@
     /// The endpoint answered with an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    NotProcessed,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection came up.
@@ -138,13 +138,13 @@
     /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::NotProcessed | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
@@ -160,7 +160,7 @@
             key: None,
             client_retry: false,
             write: false,
-            passing: false,
+            streamed_body: false,
         })
     }
 }
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -6,7 +6,7 @@
 use super::inbound::Inbound;
 use super::message::{Inbox, Input};
 use gullpulley::config::DOOR_MOST;
-use gullpulley::{Census, TcpConnection};
+use gullpulley::{BalancerStats, TcpConnection};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::header::{self, HeaderValue};
@@ -207,8 +207,8 @@
         match place {
             Place::Ready if self.inbound.takes_clients() => text(StatusCode::OK, "ready\n"),
             Place::Ready => text(StatusCode::SERVICE_UNAVAILABLE, "takes no clients\n"),
-            Place::Metrics => match self.ask(Input::Census).await {
-                Some(census) => self.figures(census, uri.query()),
+            Place::Metrics => match self.ask(Input::Stats).await {
+                Some(stats) => self.figures(stats, uri.query()),
                 None => text(StatusCode::SERVICE_UNAVAILABLE, "ending\n"),
             },
             Place::Fleet => match self.counters.fleet() {
@@ -225,11 +225,11 @@
     }
 
     /// The figures, in the form that is asked for.
-    fn figures(&self, census: Census, query: Option<&str>) -> Reply {
+    fn figures(&self, stats: BalancerStats, query: Option<&str>) -> Reply {
         match query.and_then(|query| query.split('&').find_map(|pair| pair.strip_prefix("format="))) {
-            None => text(StatusCode::OK, self.counters.report(census)),
+            None => text(StatusCode::OK, self.counters.report(stats)),
             Some("openmetrics") => {
-                let mut reply = text(StatusCode::OK, self.counters.open_metrics(census));
+                let mut reply = text(StatusCode::OK, self.counters.open_metrics(stats));
                 reply.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(OPEN_METRICS));
                 reply
             }
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -5,7 +5,7 @@
 use super::keeping::Keeping;
 use super::peers::Peers;
 use crate::logging::LogHandle;
-use gullpulley::Census;
+use gullpulley::BalancerStats;
 use prometheus_client::encoding::text;
 use prometheus_client::metrics::counter::{ConstCounter, Counter};
 use prometheus_client::metrics::family::Family;
@@ -34,7 +34,7 @@
 /// Every way for a request to end, with its name in the report.
 const ENDS: [(End, &str); 3] =
     [(End::Completed, "completed"), (End::Rejected, "rejected"), (End::Failed, "failed")];
-/// The zones that a window is of, in the order of the census.
+/// The zones that a window is of, in the order of the stats.
 const WINDOWS: [&str; 2] = ["own", "other"];
 
 type Labels = Vec<(&'static str, String)>;
@@ -121,7 +121,7 @@
     }
 
     /// All figures, a line each, as the operators named them.
-    pub fn report(&self, census: Census) -> String {
+    pub fn report(&self, stats: BalancerStats) -> String {
         let mut text = String::new();
         let mut line = |name: &str, value: u64| {
             let _ = writeln!(text, "svc.{name}={value}"); // writing to a string does not fail
@@ -134,8 +134,8 @@
         }
         line("upstream_requests", self.upstream.get());
         line("pending", self.pending.get());
-        line("members", census.members as u64);
-        line("members_unavailable", census.unavailable as u64);
+        line("members", stats.members as u64);
+        line("members_unavailable", stats.unavailable as u64);
         text
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// The same figures and more, as OpenMetrics text.
-    pub fn open_metrics(&self, census: Census) -> String {
+    pub fn open_metrics(&self, stats: BalancerStats) -> String {
         let mut registry = Registry::with_prefix("gullpulley");
         let build = Info::new(vec![("version", env!("CARGO_PKG_VERSION"))]);
         registry.register("build", "The program that runs", build);
@@ -167,27 +167,27 @@
         registry.register("log_lines_dropped", "Lines of the log that nobody read in time", dropped);
         for (name, help, value) in [
             ("requests_pending", "Requests taken and not ended", self.pending.get()),
-            ("requests_held", "Requests held until there is room", census.held as u64),
-            ("endpoints", "Endpoints in the list", census.members as u64),
-            ("endpoints_unavailable", "Those that get nothing now", census.unavailable as u64),
+            ("requests_held", "Requests held until there is room", stats.queued as u64),
+            ("endpoints", "Endpoints in the list", stats.members as u64),
+            ("endpoints_unavailable", "Those that get nothing now", stats.unavailable as u64),
         ] {
             registry.register(name, help, ConstGauge::new(value as i64));
         }
-        let held = ConstCounter::new(census.held_without_lease);
+        let held = ConstCounter::new(stats.queued_without_lease);
         registry.register(
             "requests_held_without_lease",
             "Requests held as the endpoint list's lease had run out",
             held,
         );
-        let lapsed = ConstCounter::new(census.lease_lapsed.as_secs_f64());
+        let lapsed = ConstCounter::new(stats.time_without_lease.as_secs_f64());
         let help = "For how long the lease on the endpoint list has been out of force";
         registry.register_with_unit("list_lease_lapsed", help, Unit::Seconds, lapsed);
         let (size, out) =
             (Family::<Labels, Gauge<f64, AtomicU64>>::default(), Family::<Labels, Gauge>::default());
-        for (zone, window) in WINDOWS.into_iter().zip(census.windows) {
+        for (zone, window) in WINDOWS.into_iter().zip(stats.windows) {
             let zone = vec![("zone", zone.to_owned())];
             size.get_or_create(&zone).set(window.size);
-            out.get_or_create(&zone).set(i64::from(window.out));
+            out.get_or_create(&zone).set(i64::from(window.in_flight));
         }
         registry.register("window_attempts", "Own attempts that may be out", size);
         registry.register("window_attempts_out", "Own attempts that are out", out);
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -205,8 +205,8 @@
             }
             this.watches.borrow_mut().retain(|watch| watch.number != number);
             let failure = over.failure(began.elapsed());
-            let unheard = this.failed(&over.to_string(), failure);
-            let wait = this.schedule.borrow_mut().failed(this.began.elapsed(), unheard, failure);
+            let silent_for = this.failed(&over.to_string(), failure);
+            let wait = this.schedule.borrow_mut().failed(this.began.elapsed(), silent_for, failure);
             this.plan_call(Some(wait));
         });
         self.watches.borrow_mut().push(Watch { number, _task: Guard::new(task.abort_handle()) });
@@ -313,8 +313,8 @@
         info!(rev = list.rev, entries = list.targets.len(), "list: told by the address before");
         let mut news = self.translator.news(list);
         news.membership = match news.membership {
-            Membership::Full(entries) => Membership::Late { whole: true, entries },
-            Membership::Delta(entries) => Membership::Late { whole: false, entries },
+            Membership::Full(entries) => Membership::FromPreviousAddress { whole: true, entries },
+            Membership::Delta(entries) => Membership::FromPreviousAddress { whole: false, entries },
             other => other,
         };
         self.tell(news);
@@ -378,13 +378,13 @@
 
     /// Tells that a call or watch has failed; for how long nothing had been heard.
     fn failed(&self, reason: &str, failure: DiscoveryFailure) -> Duration {
-        let unheard = self.told_at.get().elapsed();
+        let silent_for = self.told_at.get().elapsed();
         // Said once for each reason until a list comes; the driver counts the others.
         if self.failing.replace(Some(reason.to_owned())).is_none_or(|before| before != reason) {
             warn!(address = %self.address.get(), "discovery: {reason}");
         }
-        self.tell(News::of(Membership::Failed { unheard, failure }));
-        unheard
+        self.tell(News::of(Membership::Failed { silent_for, failure }));
+        silent_for
     }
 
     fn tell(&self, news: News) {
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -167,13 +167,13 @@
             }
             Input::Shared(processes) => {
                 info!("processes of this sidecar: {processes}");
-                self.handle(Event::Shared { processes: processes as u32 });
+                self.handle(Event::ProcessCountChanged { processes: processes as u32 });
             }
             Input::Balancers(living) => {
                 info!("balancers that share the work: {living}");
-                self.handle(Event::Balancers { living });
+                self.handle(Event::BalancerCountChanged { living });
             }
-            Input::Census(to) => drop(to.send(self.balancer.census(self.clock.now()))),
+            Input::Stats(to) => drop(to.send(self.balancer.stats(self.clock.now()))),
             Input::GiveUp => {
                 let open = self.requests.iter().filter(|(_, open)| open.answer.is_some());
                 let open: Vec<RequestId> = open.map(|(id, _)| *id).collect();
@@ -209,7 +209,7 @@
             tried.sent = now; // the endpoint begins only now
         }
         let time_left = deadline.saturating_duration_since(now);
-        self.handle(Event::Whole { request: id, time_left });
+        self.handle(Event::BodyForwarded { request: id, time_left });
     }
 
     fn gone(&mut self, id: RequestId) {
@@ -254,7 +254,7 @@
         }
         let finished = self.requests.get(&id).is_none_or(|open| open.answer.is_none());
         if spent {
-            self.handle(Event::Spent(id));
+            self.handle(Event::BodySendStarted(id));
         }
         self.answered(endpoint, connected_for);
         self.handle(Event::AttemptEnded(AttemptEnded {
@@ -308,9 +308,8 @@
         let (whole, entries) = match &news.membership {
             Membership::Full(entries) | Membership::Cached(entries) => (true, entries),
             Membership::Delta(entries) => (false, entries),
-            Membership::Late { whole, entries } | Membership::Unconfirmed { whole, entries } => {
-                (*whole, entries)
-            }
+            Membership::FromPreviousAddress { whole, entries }
+            | Membership::Unconfirmed { whole, entries } => (*whole, entries),
             Membership::Failed { .. } => {
                 self.count("discovery failed");
                 return self.handle(Event::Membership(news.membership));
@@ -415,12 +414,12 @@
                 request: id,
                 attempt,
                 endpoint,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NotSent,
                 elapsed: Duration::ZERO,
                 finished: open.answer.is_none(),
                 report: None,
             }));
-            return self.count(outcome_name(Outcome::Moot));
+            return self.count(outcome_name(Outcome::NotSent));
         };
         debug!(
             request = open.forward.id(),
--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -431,7 +431,7 @@
         let (body, deadline, latest) = match rest {
             None => (Content::Held(first), came + ours, came + time),
             Some(rest) => {
-                request.passing = true;
+                request.streamed_body = true;
                 let pieces = Pieces::of_client(first, rest);
                 let inbox = self.inbox.clone();
                 let upload = Upload::new(pieces, ours, move |deadline| {
--- a/src/net/log_text.rs
+++ b/src/net/log_text.rs
@@ -21,11 +21,11 @@
     match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
-        Outcome::Full => "turned away",
+        Outcome::NotProcessed => "turned away",
         Outcome::TimedOut => "timed out",
         Outcome::ConnectFailed => "not connected",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "moot",
+        Outcome::NotSent => "moot",
     }
 }
--- a/src/net/message.rs
+++ b/src/net/message.rs
@@ -5,7 +5,7 @@
 use super::outbound::{Ended, Passing, set_time_left};
 use super::passing::{Payload, Upload};
 use super::progress::Progress;
-use gullpulley::{AttemptNo, Census, EndpointId, RequestId};
+use gullpulley::{AttemptNo, BalancerStats, EndpointId, RequestId};
 use http_body_util::Full;
 use hyper::body::Bytes;
 use hyper::header::{self, HeaderValue};
@@ -43,7 +43,7 @@
     /// So many balancers share the work.
     Balancers(u32),
     /// The operators ask how many endpoints there are.
-    Census(oneshot::Sender<Census>),
+    Stats(oneshot::Sender<BalancerStats>),
     /// The process must end: fail what is still open.
     GiveUp,
 }
--- a/src/net/outbound.rs
+++ b/src/net/outbound.rs
@@ -165,7 +165,7 @@
                 Some(link) => (link, false),
                 None => match self.connect(address, write_by).await {
                     Some(link) => (link, true),
-                    None if too_late() => return Ended::bare(Outcome::Moot),
+                    None if too_late() => return Ended::bare(Outcome::NotSent),
                     None => return Ended::bare(Outcome::ConnectFailed),
                 },
             };
@@ -182,7 +182,7 @@
             }
             if too_late() {
                 self.keep(endpoint, link);
-                return Ended::bare(Outcome::Moot);
+                return Ended::bare(Outcome::NotSent);
             }
             // Connecting took a part of what the client has left: the endpoint is told what there is now.
             if let Some(until) = until {
@@ -238,7 +238,9 @@
         let never_ran = head.headers.get("x-not-processed").is_some_and(|v| v.as_bytes() == b"1");
         let outcome = match head.status {
             StatusCode::OK => Outcome::Ok,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => Outcome::Full,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => {
+                Outcome::NotProcessed
+            }
             _ => Outcome::Error,
         };
         let rejected = matches!(head.status, StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND);
@@ -248,7 +250,7 @@
             Some(Held::Whole(body)) => (ended(body), None),
             Some(Held::Large(pieces)) => (ended(Bytes::new()), Some(pieces)),
             // The head of a refusal says it all, whatever became of its body.
-            None if outcome == Outcome::Full => (Ended::bare(Outcome::Full), None),
+            None if outcome == Outcome::NotProcessed => (Ended::bare(Outcome::NotProcessed), None),
             None => (Ended::bare(Outcome::Reset), None),
         }
     }
--- a/src/net/progress.rs
+++ b/src/net/progress.rs
@@ -26,7 +26,7 @@
 
     /// The outcome of being called off: nothing written means not sent.
     pub fn cancelled(&self) -> Outcome {
-        if self.written.get() { Outcome::Cancelled } else { Outcome::Moot }
+        if self.written.get() { Outcome::Cancelled } else { Outcome::NotSent }
     }
 
     /// Whether it has been written.
--- a/src/net/request.rs
+++ b/src/net/request.rs
@@ -75,7 +75,7 @@
             time_left: Duration::ZERO,
             work_hint,
             key: user.and_then(|user| u64::from_str_radix(user, 16).ok()),
-            passing: false,
+            streamed_body: false,
             client_retry: text("x-retried") == Some("1"),
             write: text("x-attrs")
                 .is_some_and(|attrs| attrs.split(',').any(|attr| attr.trim() == "write=1")),
--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -155,12 +155,12 @@
         (self.watched, self.calls_out, self.planned) = (false, 0, None);
     }
 
-    /// A call failed, or the watch is over, on which nothing had come for `unheard`: how long to wait
+    /// A call failed, or the watch is over, on which nothing had come for `silent_for`: how long to wait
     /// before the next call.
-    pub fn failed(&mut self, now: Duration, unheard: Duration, failure: DiscoveryFailure) -> Duration {
+    pub fn failed(&mut self, now: Duration, silent_for: Duration, failure: DiscoveryFailure) -> Duration {
         let watched = std::mem::replace(&mut self.watched, false);
         self.calls_out = if watched { 0 } else { self.calls_out.saturating_sub(1) };
-        self.lease.watch_ended(now, unheard);
+        self.lease.watch_ended(now, silent_for);
         if !watched {
             self.lease.call_failed(now, failure);
         }
--- a/src/policy/limits.rs
+++ b/src/policy/limits.rs
@@ -65,7 +65,7 @@
             Outcome::Error | Outcome::Reset => slow,
             Outcome::Cancelled => slow && !silent,
             Outcome::TimedOut => !silent,
-            outcome => outcome == Outcome::Full,
+            outcome => outcome == Outcome::NotProcessed,
         };
         let part = self.part();
         // One call an endpoint, parted among all balancers. It is the least a window falls to, and the
@@ -105,7 +105,7 @@
                     self.prove(now);
                 }
             }
-            Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
             _ => endpoint.add_heat(now),
         }
     }
--- a/src/policy/list.rs
+++ b/src/policy/list.rs
@@ -60,8 +60,8 @@
         let newer = self.has_news(&news);
         let cached = matches!(news, Membership::Cached(_));
         match news {
-            Membership::Failed { unheard, failure } => {
-                let wait = self.schedule.failed(now, unheard, failure);
+            Membership::Failed { silent_for, failure } => {
+                let wait = self.schedule.failed(now, silent_for, failure);
                 if self.settings.discovery == Discovery::Ask {
                     out.push(Action::Log(format!("discovery: {failure:?}, next call in {wait:.2?}")));
                     self.call_discovery_after(wait, out);
@@ -75,7 +75,7 @@
                 }
                 return;
             }
-            Membership::Late { whole, entries } => {
+            Membership::FromPreviousAddress { whole, entries } => {
                 self.take_entries(now, whole, entries);
                 return;
             }
--- a/src/policy/list_lease.rs
+++ b/src/policy/list_lease.rs
@@ -164,12 +164,12 @@
         }
     }
 
-    /// No watch is up, and for `unheard` the last one had told nothing. Says nothing new where none was.
-    pub fn watch_ended(&mut self, now: Duration, unheard: Duration) {
+    /// No watch is up, and for `silent_for` the last one had told nothing. Says nothing new where none was.
+    pub fn watch_ended(&mut self, now: Duration, silent_for: Duration) {
         self.count_lapsed(now);
         let Some(watch) = self.watch.take() else { return };
         if self.proves(&watch, now) {
-            let told = now.saturating_sub(unheard);
+            let told = now.saturating_sub(silent_for);
             self.complete_up_to(told.saturating_sub(LISTING_DELAY));
             self.doubted_at = told + self.doubted_within;
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -152,8 +152,8 @@
         match event {
             Event::Membership(news) => self.on_membership(now, news, out),
             Event::Request(request) => self.on_request(now, request, out),
-            Event::Whole { request, time_left } => self.on_whole(now, request, time_left, out),
-            Event::Spent(id) => {
+            Event::BodyForwarded { request, time_left } => self.on_whole(now, request, time_left, out),
+            Event::BodySendStarted(id) => {
                 if let Some(pending) = self.requests.get_mut(&id) {
                     pending.spent = true;
                 }
@@ -190,8 +190,10 @@
             },
             Event::Suspend(id) => self.on_suspend(now, id, out),
             Event::Resume { endpoint, at } => self.on_resume(now, endpoint, at, out),
-            Event::Shared { processes } => self.on_shared(now, self.settings.balancers, processes),
-            Event::Balancers { living } => self.on_shared(now, living, self.processes as u32),
+            Event::ProcessCountChanged { processes } => {
+                self.on_shared(now, self.settings.balancers, processes)
+            }
+            Event::BalancerCountChanged { living } => self.on_shared(now, living, self.processes as u32),
             Event::ProbeEnded { endpoint, outcome, elapsed, .. } => {
                 self.on_probe_ended(now, endpoint, outcome, elapsed, out);
             }
@@ -210,18 +212,18 @@
     }
 
     /// How many endpoints are listed, and how many of them would not take a call now.
-    pub fn census(&self, now: Duration) -> Census {
+    pub fn stats(&self, now: Duration) -> BalancerStats {
         let listed = || self.endpoints.iter().filter(|e| e.info.state != EndpointState::Gone);
         // What holds all the calls that it may is in use; one that failures bar from its first is avoided.
         let barred =
             |e: &&Endpoint| !e.is_ready() || e.heat(now) - self.common_heat + 1.0 > e.limit.max(1.0);
-        Census {
+        BalancerStats {
             members: listed().count(),
             unavailable: listed().filter(barred).count(),
-            held: self.held.len(),
-            held_without_lease: self.held_without_lease,
-            lease_lapsed: self.schedule.lease().lapsed(now),
-            windows: self.windows.map(|window| WindowCensus { size: window.size, out: window.out }),
+            queued: self.held.len(),
+            queued_without_lease: self.held_without_lease,
+            time_without_lease: self.schedule.lease().lapsed(now),
+            windows: self.windows.map(|window| WindowStats { size: window.size, in_flight: window.out }),
         }
     }
 
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -80,7 +80,7 @@
             part *= self.settings.classes[class].late_value.max(REPEAT_LEAST);
         }
         let (arrived, deadline, attempts) = (now, now + request.time_left, Vec::new());
-        let (finished, streaming, passing, spent) = (false, false, request.passing, false);
+        let (finished, streaming, passing, spent) = (false, false, request.streamed_body, false);
         let pending =
             Pending { class, arrived, deadline, part, attempts, finished, streaming, passing, spent };
         self.requests.insert(id, pending);
@@ -209,7 +209,7 @@
             let Endpoint { accepted, refused, continuity, .. } = &mut self.endpoints[i];
             match ended.outcome {
                 Outcome::Ok => *accepted = (*accepted).max(Some(sent)),
-                Outcome::Full | Outcome::ConnectFailed => *refused = (*refused).max(Some(sent)),
+                Outcome::NotProcessed | Outcome::ConnectFailed => *refused = (*refused).max(Some(sent)),
                 _ => {}
             }
             if ended.outcome == Outcome::ConnectFailed {
--- a/tests/discovery_schedule.rs
+++ b/tests/discovery_schedule.rs
@@ -160,7 +160,7 @@
                     Answer::RefusedAtOnce => DiscoveryFailure::RefusedAtOnce,
                     _ => DiscoveryFailure::SentAway,
                 };
-                told.push((i, now, Membership::Failed { unheard: Duration::ZERO, failure }));
+                told.push((i, now, Membership::Failed { silent_for: Duration::ZERO, failure }));
             }
             Due::Down => {
                 free_at = now;
@@ -169,8 +169,8 @@
                 if queue.moves {
                     (0..processes).for_each(|i| plan(&mut due, move_at(i), Due::Move(i), &mut what));
                 } else {
-                    let unheard = Duration::from_secs(1);
-                    let failed = Membership::Failed { unheard, failure: DiscoveryFailure::Unanswered };
+                    let silent_for = Duration::from_secs(1);
+                    let failed = Membership::Failed { silent_for, failure: DiscoveryFailure::Unanswered };
                     told.extend(broken.into_iter().map(|i| (i, now, failed.clone())));
                 }
             }
@@ -275,7 +275,7 @@
 #[test]
 fn a_lost_watch_is_asked_for_at_once_and_counts_as_the_settings_say() {
     // A watch may end instead of telling: what it would have told counts 2 s later.
-    for (ask_within, unheard) in [(ms(2100), ms(0)), (ms(10_000), ms(3000))] {
+    for (ask_within, silent_for) in [(ms(2100), ms(0)), (ms(10_000), ms(3000))] {
         for seed in 0..40 {
             let mut settings = Settings { discovery: Discovery::Ask, ..Settings::default() };
             settings.rules.ask_within = ask_within;
@@ -283,13 +283,13 @@
             assert!(schedule.first(false) <= ms(10), "from its start, of the only process");
             assert_eq!(schedule.first(true), ms(0), "beside an older process");
             schedule.heard(ms(59_000));
-            let wait = schedule.failed(ms(60_000), unheard, DiscoveryFailure::Unanswered);
+            let wait = schedule.failed(ms(60_000), silent_for, DiscoveryFailure::Unanswered);
             assert!(wait <= ms(750), "{wait:?}");
-            let counts = ms(60_000) - unheard + ask_within.min(ms(6000));
+            let counts = ms(60_000) - silent_for + ask_within.min(ms(6000));
             assert!(!schedule.lease().is_doubted(counts - ms(1)) && schedule.lease().is_doubted(counts));
             let again = ms(60_000)
                 + wait
-                + schedule.failed(ms(60_000) + wait, unheard, DiscoveryFailure::Unanswered);
+                + schedule.failed(ms(60_000) + wait, silent_for, DiscoveryFailure::Unanswered);
             assert!(again <= ms(60_000 + 750 + 5500), "then in its turn");
         }
     }
@@ -318,7 +318,7 @@
     let (id, actions) = d.request(ms(2000));
     let mut went = sends(&actions);
     while let Some(to) = d.out.iter().find(|o| o.0 == id).map(|o| o.2) {
-        let outcome = if refusing.contains(&to.0) { Outcome::Full } else { Outcome::Ok };
+        let outcome = if refusing.contains(&to.0) { Outcome::NotProcessed } else { Outcome::Ok };
         went.extend(sends(&d.end(id, outcome, ms(10))));
     }
     went
@@ -326,7 +326,7 @@
 
 /// A call at discovery finds that nothing listens there.
 fn nothing_listens(d: &mut Driver) {
-    d.list(Membership::Failed { unheard: Duration::ZERO, failure: DiscoveryFailure::NotListening });
+    d.list(Membership::Failed { silent_for: Duration::ZERO, failure: DiscoveryFailure::NotListening });
 }
 
 /// Lets time pass while nothing listens at discovery.
@@ -356,7 +356,7 @@
                     true => DiscoveryFailure::Unanswered,
                     false => DiscoveryFailure::NotListening,
                 };
-                d.list(Membership::Failed { unheard: Duration::ZERO, failure });
+                d.list(Membership::Failed { silent_for: Duration::ZERO, failure });
             }
             if (40..360).contains(&tick) && tick % 20 == 10 {
                 nothing_listens(&mut d);
@@ -402,7 +402,7 @@
         settings.limits.probes = probes;
         let mut d = Driver::new(settings, endpoints(8));
         d.list(Membership::Delta(vec![]));
-        d.list(Membership::Failed { unheard: Duration::ZERO, failure: DiscoveryFailure::Unanswered });
+        d.list(Membership::Failed { silent_for: Duration::ZERO, failure: DiscoveryFailure::Unanswered });
         let (mut probed, mut served_after) = (0, 0);
         for tick in 0..160 {
             // Endpoint 1 refuses from 5 s to 10 s; discovery stays away for all the 40 s.
@@ -411,13 +411,14 @@
             for action in &actions {
                 if let Action::Probe { endpoint } = *action {
                     probed += 1;
-                    let outcome = if refusing.contains(&endpoint.0) { Outcome::Full } else { Outcome::Ok };
+                    let outcome =
+                        if refusing.contains(&endpoint.0) { Outcome::NotProcessed } else { Outcome::Ok };
                     d.probe_answered(endpoint, outcome, ms(5));
                 }
             }
             while let Some(to) = d.out.iter().find(|o| o.0 == id).map(|o| o.2) {
                 served_after += usize::from(to.0 == 1 && tick > 60);
-                let outcome = if refusing.contains(&to.0) { Outcome::Full } else { Outcome::Ok };
+                let outcome = if refusing.contains(&to.0) { Outcome::NotProcessed } else { Outcome::Ok };
                 d.end(id, outcome, ms(10));
             }
             advance_while_discovery_is_down(&mut d, ms(250));
@@ -440,7 +441,7 @@
 
 #[test]
 fn failures_in_a_row_leave_one_call_to_come_and_none_once_a_watch_is_up_or_discovery_moves() {
-    let failed = |failure| Membership::Failed { unheard: Duration::ZERO, failure };
+    let failed = |failure| Membership::Failed { silent_for: Duration::ZERO, failure };
     // So many that discovery can bear one call of each at a time.
     let settings = Settings { discovery: Discovery::Ask, balancers: 10, ..Settings::default() };
     let mut d = Driver::new(settings, endpoints(4));
@@ -472,7 +473,7 @@
     while !refused {
         let (id, actions) = d.request(ms(20_000));
         refused = sends(&actions)[0].0 == 1;
-        d.end(id, if refused { Outcome::Full } else { Outcome::Ok }, ms(1));
+        d.end(id, if refused { Outcome::NotProcessed } else { Outcome::Ok }, ms(1));
     }
     slow.values().for_each(|id| drop(d.end(*id, Outcome::Ok, ms(100))));
     for n in 0..20 {
@@ -485,8 +486,8 @@
 /// An endpoint that is listed as draining was seen to take calls for 8.8 s: that it takes them proves nothing.
 #[test]
 fn once_what_discovery_has_counts_as_known_nothing_is_sent_by_an_older_list_until_word_comes() {
-    let silent = Membership::Failed { unheard: ms(3000), failure: DiscoveryFailure::WatchSilent };
-    let lost = Membership::Failed { unheard: ms(0), failure: DiscoveryFailure::Unanswered };
+    let silent = Membership::Failed { silent_for: ms(3000), failure: DiscoveryFailure::WatchSilent };
+    let lost = Membership::Failed { silent_for: ms(0), failure: DiscoveryFailure::Unanswered };
     for (trouble, counts) in [(Membership::Moved, ms(4000)), (silent, ms(3000)), (lost, ms(6000))] {
         let settings = Settings { discovery: Discovery::Ask, ..Settings::default() };
         let mut d = Driver::new(settings, endpoints(4));
@@ -496,7 +497,7 @@
         // Every endpoint takes what it gets; each call at discovery is lost.
         while d.now < began + counts + ms(1500) {
             late += usize::from(!serve(&mut d, &[]).is_empty() && d.now > began + counts);
-            d.list(Membership::Failed { unheard: ms(0), failure: DiscoveryFailure::Unanswered });
+            d.list(Membership::Failed { silent_for: ms(0), failure: DiscoveryFailure::Unanswered });
             d.advance(ms(50));
         }
         assert_eq!(late, 0, "{trouble:?}: requests sent by the older list");
@@ -520,7 +521,7 @@
             }
             let counts = d.now + if moved { ms(4000) } else { ms(6000) };
             for _ in 0..200 {
-                d.list(Membership::Failed { unheard: ms(0), failure });
+                d.list(Membership::Failed { silent_for: ms(0), failure });
                 let (served, down) = (serve(&mut d, &[]).len(), failure == NotListening);
                 let name = format!("{failure:?}, moved {moved}, {:?}", d.now);
                 assert!(served == 1 || !down, "{name}: service goes on while discovery is down");
--- a/tests/down_after_the_loss.rs
+++ b/tests/down_after_the_loss.rs
@@ -20,7 +20,7 @@
     d.list(Membership::Full(list));
     let lost = d.now;
     let mut actions =
-        d.list(Membership::Failed { unheard: Duration::ZERO, failure: DiscoveryFailure::Unanswered });
+        d.list(Membership::Failed { silent_for: Duration::ZERO, failure: DiscoveryFailure::Unanswered });
     let mut last = Duration::ZERO;
     while d.now - lost < ms(14_000) {
         let since = d.now - lost;
@@ -30,7 +30,7 @@
                     true => DiscoveryFailure::RefusedAtOnce,
                     false => DiscoveryFailure::NotListening,
                 };
-                actions.extend(d.list(Membership::Failed { unheard: since, failure }));
+                actions.extend(d.list(Membership::Failed { silent_for: since, failure }));
             }
         }
         let (id, sent) = d.request(ms(250));
--- a/tests/endings_decided.rs
+++ b/tests/endings_decided.rs
@@ -6,7 +6,7 @@
 use support::*;
 
 fn out(d: &Driver) -> [u32; 2] {
-    d.balancer.census(d.now).windows.map(|window| window.out)
+    d.balancer.stats(d.now).windows.map(|window| window.in_flight)
 }
 
 fn in_zone(id: u64, zone: u32) -> EndpointInfo {
@@ -32,11 +32,11 @@
 fn a_body_that_comes_whole_after_its_endpoint_has_left_gives_back_no_slot_of_another() {
     let mut d = Driver::new(Settings::default(), endpoints(1));
     let Event::Request(mut request) = Event::request(RequestId(1000), ms(900)) else { unreachable!() };
-    request.passing = true;
+    request.streamed_body = true;
     let id = request.id;
     d.feed(Event::Request(request));
     d.list(Membership::Delta(vec![EndpointInfo { state: EndpointState::Gone, ..endpoint(1) }]));
-    d.feed(Event::Whole { request: id, time_left: ms(900) });
+    d.feed(Event::BodyForwarded { request: id, time_left: ms(900) });
     d.list(Membership::Delta(vec![endpoint(1)]));
     let (_, actions) = d.request(ms(900));
     assert_eq!((sends(&actions).len(), out(&d)), (1, [1, 0]));
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -252,7 +252,7 @@
         let settings = Settings { discovery: Discovery::Ask, ..Settings::default() };
         let mut d = Driver::new(settings, endpoints(3));
         for _ in 0..100 {
-            d.list(Membership::Failed { unheard: Duration::ZERO, failure });
+            d.list(Membership::Failed { silent_for: Duration::ZERO, failure });
             // What the watch had to tell counts 2 s after its end, where no call was refused by then.
             d.advance(ms(1900));
         }
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -53,8 +53,10 @@
     driver.list(Membership::Moved);
     let (moved, mut played) = (driver.now, Played::default());
     while driver.now < moved + PLAY {
-        driver
-            .list(Membership::Failed { unheard: Duration::ZERO, failure: DiscoveryFailure::RefusedAtOnce });
+        driver.list(Membership::Failed {
+            silent_for: Duration::ZERO,
+            failure: DiscoveryFailure::RefusedAtOnce,
+        });
         let since = driver.now - moved;
         let (_, mut actions) = driver.request(ms(300));
         actions.extend(driver.advance(PROBE_TAKES));
@@ -116,7 +118,7 @@
     settings.limits.probes = false;
     let mut driver = Driver::new(settings, endpoints(6));
     driver.list(Membership::Delta(vec![]));
-    let failed = |failure| Membership::Failed { unheard: Duration::ZERO, failure };
+    let failed = |failure| Membership::Failed { silent_for: Duration::ZERO, failure };
     driver.list(failed(DiscoveryFailure::Unanswered));
     driver.advance(ms(7000));
     for _ in 0..4 {
@@ -132,7 +134,7 @@
     let mut driver = Driver::new(settings, endpoints(6));
     driver.list(Membership::Delta(vec![]));
     let failure = DiscoveryFailure::Unanswered;
-    driver.list(Membership::Failed { unheard: Duration::ZERO, failure });
+    driver.list(Membership::Failed { silent_for: Duration::ZERO, failure });
     let lost = driver.now;
     driver.advance(KNOWN_AFTER_WATCH_END - ms(100));
     let (_, actions) = driver.request(ms(2000));
@@ -171,7 +173,7 @@
     let lost = driver.now;
     let mut last_sent = Duration::ZERO;
     while driver.now < lost + PLAY {
-        driver.list(Membership::Failed { unheard: ms(50), failure });
+        driver.list(Membership::Failed { silent_for: ms(50), failure });
         let (id, actions) = driver.request(ms(300));
         if !sends(&actions).is_empty() {
             last_sent = driver.now - lost;
--- a/tests/health_probes.rs
+++ b/tests/health_probes.rs
@@ -22,7 +22,7 @@
     d.all_answer_for(&list, ms(6000));
     d.list(Membership::Full(list.clone()));
     let failure = DiscoveryFailure::Unanswered;
-    d.list(Membership::Failed { unheard: Duration::ZERO, failure });
+    d.list(Membership::Failed { silent_for: Duration::ZERO, failure });
     d.all_answer_for(&list, ms(7000));
     let (began, mut sent, mut probes, mut asked) = (d.now, 0, 0, HashSet::new());
     let mut actions = Vec::new();
--- a/tests/held_count.rs
+++ b/tests/held_count.rs
@@ -13,9 +13,9 @@
     let mut d = Driver::new(settings, endpoints(4));
     d.advance(ms(6000));
     d.list(Membership::Full(endpoints(4)));
-    d.list(Membership::Failed { unheard: Duration::ZERO, failure: DiscoveryFailure::Unanswered });
+    d.list(Membership::Failed { silent_for: Duration::ZERO, failure: DiscoveryFailure::Unanswered });
     d.advance(ms(7000));
     d.request(ms(1000));
     d.advance(ms(210));
-    assert_eq!(d.balancer.census(d.now).held_without_lease, 1);
+    assert_eq!(d.balancer.stats(d.now).queued_without_lease, 1);
 }
--- a/tests/moved_newer_list.rs
+++ b/tests/moved_newer_list.rs
@@ -24,8 +24,8 @@
     // The node tells this where the version is another than the one held: one of two changes that discovery has.
     d.list(Membership::Delta(vec![EndpointInfo { state: EndpointState::Draining, ..endpoint(4) }]));
     d.advance(ms(30));
-    let (unheard, failure) = (ms(30), DiscoveryFailure::Unanswered);
-    d.list(Membership::Failed { unheard, failure });
+    let (silent_for, failure) = (ms(30), DiscoveryFailure::Unanswered);
+    d.list(Membership::Failed { silent_for, failure });
     let mut last = Duration::ZERO;
     while d.now - moved < ms(9000) {
         let (id, sent) = d.request(ms(250));
@@ -37,7 +37,7 @@
         let called = d.advance(ms(40)).iter().any(|a| matches!(a, Action::Watch(true)));
         if called {
             let failure = DiscoveryFailure::RefusedAtOnce;
-            d.list(Membership::Failed { unheard: since, failure });
+            d.list(Membership::Failed { silent_for: since, failure });
         }
     }
     let latest = KNOWN_AFTER_MOVE + settings.rules.drain_grace;
--- a/tests/passing_decisions.rs
+++ b/tests/passing_decisions.rs
@@ -7,7 +7,7 @@
 fn passing(d: &mut Driver, id: u64) -> (RequestId, Vec<Action>) {
     let id = RequestId(id);
     let Event::Request(mut request) = Event::request(id, ms(600_000)) else { unreachable!() };
-    request.passing = true;
+    request.streamed_body = true;
     (id, d.feed(Event::Request(request)))
 }
 
@@ -17,7 +17,7 @@
     let (id, actions) = passing(&mut d, 1000);
     assert_eq!(sends(&actions).len(), 1);
     assert!(d.advance(ms(30_000)).is_empty(), "no deadline and no second copy while it comes");
-    d.feed(Event::Whole { request: id, time_left: ms(300) });
+    d.feed(Event::BodyForwarded { request: id, time_left: ms(300) });
     assert!(!failed(&d.advance(ms(290)), id));
     assert!(failed(&d.advance(ms(15)), id));
 }
@@ -34,7 +34,7 @@
     assert_eq!(d.out.len(), 20);
     d.fill();
     assert_eq!(d.out.len(), 20 + room, "slow bodies take nobody's room");
-    d.feed(Event::Whole { request: ids[0], time_left: ms(900) });
+    d.feed(Event::BodyForwarded { request: ids[0], time_left: ms(900) });
     let ended = d.out[20].0;
     d.end(ended, Outcome::Ok, ms(1));
     assert!(d.out.len() <= 20 + room, "now it counts");
@@ -45,7 +45,7 @@
     for (outcome, refusal) in [(Outcome::ConnectFailed, true), (Outcome::Reset, false)] {
         let mut d = Driver::new(with_class(Semantics::Unsafe), endpoints(3));
         let (id, _) = passing(&mut d, 1000);
-        d.feed(Event::Spent(id));
+        d.feed(Event::BodySendStarted(id));
         let actions = d.end(id, outcome, ms(5));
         assert!(sends(&actions).is_empty());
         assert_eq!((refused(&actions, id), failed(&actions, id)), (refusal, !refusal), "{outcome:?}");
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -40,11 +40,11 @@
     match n {
         0 | 1 => Outcome::Ok,
         2 => Outcome::Error,
-        3 => Outcome::Full,
+        3 => Outcome::NotProcessed,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        _ => Outcome::Moot,
+        _ => Outcome::NotSent,
     }
 }
 
@@ -111,7 +111,7 @@
             }
             Step::DiscoveryFails => {
                 d.list(Membership::Failed {
-                    unheard: Duration::ZERO,
+                    silent_for: Duration::ZERO,
                     failure: DiscoveryFailure::Unanswered,
                 });
             }
--- a/tests/refused_once.rs
+++ b/tests/refused_once.rs
@@ -23,7 +23,7 @@
     d.list(Membership::Full(list));
     let lost = d.now;
     let failure = DiscoveryFailure::Unanswered;
-    let mut actions = d.list(Membership::Failed { unheard: Duration::ZERO, failure });
+    let mut actions = d.list(Membership::Failed { silent_for: Duration::ZERO, failure });
     let (mut last, mut due, mut refused) =
         (Duration::ZERO, Vec::<(Duration, DiscoveryFailure)>::new(), false);
     for step in 0..PLAY / STEP {
@@ -40,7 +40,7 @@
         let (over, out) = due.into_iter().partition(|(at, _)| *at <= d.now);
         due = out;
         for (_, failure) in over {
-            actions.extend(d.list(Membership::Failed { unheard: since, failure }));
+            actions.extend(d.list(Membership::Failed { silent_for: since, failure }));
         }
         if step % 4 == 0 {
             let (id, sent) = d.request(ms(250));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -35,7 +35,7 @@
 
 #[test]
 fn rule_2_unsafe_is_sent_again_only_if_it_never_ran() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed] {
+    for outcome in [Outcome::NotProcessed, Outcome::ConnectFailed] {
         let mut d = Driver::new(with_class(Semantics::Unsafe), endpoints(3));
         let (id, _) = d.request(ms(900));
         assert_eq!(sends(&d.end(id, outcome, ms(1))).len(), 1, "{outcome:?} proves that it never ran");
@@ -172,7 +172,7 @@
         assert!(first < ask_within);
         waits.push(first);
         assert!(d.advance(ask_within).contains(&Action::Watch(true)));
-        d.list(Membership::Failed { unheard: Duration::ZERO, failure: DiscoveryFailure::Unanswered });
+        d.list(Membership::Failed { silent_for: Duration::ZERO, failure: DiscoveryFailure::Unanswered });
         assert!(d.advance(ask_within).contains(&Action::Watch(true)), "a failed call is made again");
         d.list(Membership::Delta(vec![]));
         assert!(
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -156,7 +156,7 @@
         (Outcome::Ok, 900), // late, each of them
         (Outcome::Error, 900),
         (Outcome::Error, 5),
-        (Outcome::Full, 5),
+        (Outcome::NotProcessed, 5),
         (Outcome::ConnectFailed, 1),
         (Outcome::Reset, 300),
         (Outcome::TimedOut, 1900),
--- a/tests/support/lease_model.rs
+++ b/tests/support/lease_model.rs
@@ -234,7 +234,7 @@
                     let late = write_within.filter(|within| *within < ms(connects));
                     let took = self.draw(5, 41);
                     let (after, ends) = match late {
-                        Some(within) => (within.as_millis() as u64, Ends::With(Outcome::Moot)),
+                        Some(within) => (within.as_millis() as u64, Ends::With(Outcome::NotSent)),
                         None => (connects, Ends::Written { took, outcome: Outcome::Ok }),
                     };
                     self.timers_set += 1;
@@ -292,17 +292,17 @@
         self.calls.push((at + after, failure));
     }
 
-    pub fn failed(&mut self, unheard: u64, failure: DiscoveryFailure) {
+    pub fn failed(&mut self, silent_for: u64, failure: DiscoveryFailure) {
         let at = self.at();
         if failure.is_refusal() {
             self.ends.iter_mut().for_each(|end| _ = end.1.get_or_insert(at));
         }
-        let (now, unheard) = (self.now, ms(unheard));
+        let (now, silent_for) = (self.now, ms(silent_for));
         if let Some(schedule) = &mut self.schedule {
-            let wait = schedule.failed(now, unheard, failure);
+            let wait = schedule.failed(now, silent_for, failure);
             self.plan(Some(wait));
         }
-        self.tell(Membership::Failed { unheard, failure });
+        self.tell(Membership::Failed { silent_for, failure });
     }
 
     pub fn lose_watch(&mut self, failure: DiscoveryFailure) {
@@ -479,7 +479,7 @@
                             "written at {due} ms to {endpoint:?}, which counts as told at {told} ms: {change:?}"
                         );
                         if change.removed || !change.takes {
-                            outcome = Outcome::Full;
+                            outcome = Outcome::NotProcessed;
                         }
                     }
                     self.attempt_ends.insert((due + took, number), (request, attempt, Ends::With(outcome)));
@@ -549,8 +549,8 @@
             match self.calls.swap_remove(i).1 {
                 None => self.answer(),
                 Some(failure) => {
-                    let unheard = at - self.heard;
-                    self.failed(unheard, failure);
+                    let silent_for = at - self.heard;
+                    self.failed(silent_for, failure);
                 }
             }
         }
--- a/tests/suspension.rs
+++ b/tests/suspension.rs
@@ -101,16 +101,16 @@
 #[test]
 fn the_census_counts_what_is_listed_and_what_gets_nothing() {
     let mut d = Driver::new(Settings::default(), endpoints(4));
-    let census = |d: &Driver| (d.balancer.census(d.now).members, d.balancer.census(d.now).unavailable);
-    assert_eq!(census(&d), (4, 0));
+    let stats = |d: &Driver| (d.balancer.stats(d.now).members, d.balancer.stats(d.now).unavailable);
+    assert_eq!(stats(&d), (4, 0));
     d.feed(Event::Suspend(OUT));
-    assert_eq!(census(&d), (4, 1));
+    assert_eq!(stats(&d), (4, 1));
     d.list(Membership::Delta(vec![EndpointInfo { state: EndpointState::Draining, ..endpoint(2) }]));
-    assert_eq!(census(&d), (4, 2));
+    assert_eq!(stats(&d), (4, 2));
     d.list(Membership::Delta(vec![EndpointInfo { state: EndpointState::Gone, ..endpoint(1) }]));
-    assert_eq!(census(&d), (3, 1));
+    assert_eq!(stats(&d), (3, 1));
     d.feed(Event::Suspend(EndpointId(77)));
-    assert_eq!(census(&d), (3, 1), "one that is not listed is no member");
+    assert_eq!(stats(&d), (3, 1), "one that is not listed is no member");
 }
 
 #[test]
@@ -133,9 +133,9 @@
         });
         burst.filter(|to| *to == OUT).count()
     };
-    let alone = burst(Event::Shared { processes: 1 });
+    let alone = burst(Event::ProcessCountChanged { processes: 1 });
     assert!(alone >= 4, "{alone} sends: too few to tell");
-    for parts in [Event::Shared { processes: 2 }, Event::Balancers { living: 2 }] {
+    for parts in [Event::ProcessCountChanged { processes: 2 }, Event::BalancerCountChanged { living: 2 }] {
         let (said, shared) = (format!("{parts:?}"), burst(parts));
         assert!(shared * 2 <= alone + 1, "{said}: {shared} sends each of two, {alone} of one alone");
     }
