--- a/src/api/events.rs
+++ b/src/api/events.rs
@@ -67,7 +67,7 @@
     /// So many balancers share the work of this tier from now on: each of them has a part in so many.
     BalancerCountChanged {
         /// This one included; in place of [`Settings::balancers`](crate::Settings::balancers).
-        living: u32,
+        balancers: u32,
     },
     /// A message from another balancer of this tier.
     PeerMessage {
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -171,7 +171,7 @@
             }
             Input::Balancers(living) => {
                 info!("balancers that share the work: {living}");
-                self.handle(Event::BalancerCountChanged { living });
+                self.handle(Event::BalancerCountChanged { balancers: living });
             }
             Input::Stats(to) => drop(to.send(self.balancer.stats(self.clock.now()))),
             Input::GiveUp => {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -193,7 +193,9 @@
             Event::ProcessCountChanged { processes } => {
                 self.on_shared(now, self.settings.balancers, processes)
             }
-            Event::BalancerCountChanged { living } => self.on_shared(now, living, self.processes as u32),
+            Event::BalancerCountChanged { balancers } => {
+                self.on_shared(now, balancers, self.processes as u32)
+            }
             Event::ProbeEnded { endpoint, outcome, elapsed, .. } => {
                 self.on_probe_ended(now, endpoint, outcome, elapsed, out);
             }
--- a/tests/suspension.rs
+++ b/tests/suspension.rs
@@ -135,7 +135,8 @@
     };
     let alone = burst(Event::ProcessCountChanged { processes: 1 });
     assert!(alone >= 4, "{alone} sends: too few to tell");
-    for parts in [Event::ProcessCountChanged { processes: 2 }, Event::BalancerCountChanged { living: 2 }] {
+    for parts in [Event::ProcessCountChanged { processes: 2 }, Event::BalancerCountChanged { balancers: 2 }]
+    {
         let (said, shared) = (format!("{parts:?}"), burst(parts));
         assert!(shared * 2 <= alone + 1, "{said}: {shared} sends each of two, {alone} of one alone");
     }
