--- a/src/api/events.rs
+++ b/src/api/events.rs
@@ -1,25 +1,25 @@
-//! What happens: requests, the ends of attempts, news of the list, orders.
+//! Inputs of the balancer: requests, outcomes of attempts, updates of the endpoint list, operator commands.
 
 use super::{AttemptNo, ClassId, EndpointId, Membership, RequestId, TenantId, TimerToken};
 use std::time::Duration;
 
-/// Something that happened.
+/// An input of the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News from discovery.
+    /// An update of the endpoint list, or a failure of discovery.
     Membership(Membership),
-    /// A request arrived and is owed one final answer.
+    /// A request arrived; it must get exactly one final answer.
     Request(Request),
-    /// The body of a request that was passing has come, and gone on, whole.
+    /// A streamed request body has been received and forwarded completely.
     BodyForwarded {
         /// The request.
         request: RequestId,
-        /// Time until the client gives it up.
+        /// Time until the client gives up on the request.
         time_left: Duration,
     },
-    /// The body of a request has begun to go out, and can't be sent again.
+    /// Sending a streamed request body has begun. It is not buffered, so the request can't be retried.
     BodySendStarted(RequestId),
-    /// A streamed answer has begun; the client owns the attempt now.
+    /// A streamed answer has begun. From now on it is up to the client when the attempt ends.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -28,57 +28,58 @@
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
-    /// An endpoint has answered, to an attempt or a probe, whatever it said. Comes before the end of either.
+    /// An endpoint has answered an attempt or a probe, with any status. Comes before the event for the end
+    /// of either.
     Answered {
         /// The endpoint.
         endpoint: EndpointId,
-        /// For how long the connection had been open on which the answer came.
+        /// How long the connection that carried the answer had been open.
         connected_for: Duration,
     },
-    /// The client left, or its answer is overdue; nothing is owed any more.
+    /// The client disconnected, or its deadline has passed: no answer is needed any more.
     RequestGone(RequestId),
-    /// A timer came due.
+    /// A timer fired.
     Timer(TimerToken),
     /// A probe ended.
     ProbeEnded {
-        /// The endpoint asked.
+        /// The probed endpoint.
         endpoint: EndpointId,
-        /// How it went.
+        /// Its outcome.
         outcome: Outcome,
-        /// Time since sending.
+        /// Time since the probe was sent.
         elapsed: Duration,
-        /// The values of [`LoadReports::fields`](crate::LoadReports::fields), if any came.
+        /// The values of [`LoadReports::fields`](crate::LoadReports::fields), if the answer had any.
         report: Option<Vec<f64>>,
     },
-    /// The operators take an endpoint out: nothing new goes there, whatever the list says.
+    /// An operator suspends an endpoint: it gets no new requests, whatever its state in the endpoint list.
     Suspend(EndpointId),
-    /// The operators give an endpoint back, as restarted at this time.
+    /// An operator resumes a suspended endpoint, which was restarted meanwhile.
     Resume {
-        /// Which endpoint.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// When it was called back: it is as cold as if it had started then.
+        /// When it was resumed; its slow start begins then.
         at: Duration,
     },
-    /// So many processes are this balancer together from now on, and part its requests among them.
+    /// The number of processes that share this balancer's requests has changed, as during a hot restart.
     ProcessCountChanged {
-        /// This one included.
+        /// The new number, this process included.
         processes: u32,
     },
-    /// So many balancers share the work of this tier from now on: each of them has a part in so many.
+    /// The number of balancers that share the work of this tier has changed, and with it each one's subset.
     BalancerCountChanged {
-        /// This one included; in place of [`Settings::balancers`](crate::Settings::balancers).
+        /// The new number, this one included; replaces [`Settings::balancers`](crate::Settings::balancers).
         balancers: u32,
     },
     /// A message from another balancer of this tier.
     PeerMessage {
-        /// The sender's number.
+        /// The number of the sender.
         from: u32,
-        /// What it said.
+        /// The content of the message.
         payload: Vec<u8>,
     },
 }
 
-/// A request as it arrives.
+/// A request as received from the client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// Its id.
@@ -87,69 +88,70 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: TenantId,
-    /// Time until the client gives this try up.
+    /// Time until the client stops waiting for the answer to this try.
     pub time_left: Duration,
-    /// Expected work on a standard core, where known.
+    /// Expected processor time on a standard core, if known.
     pub work_hint: Option<Duration>,
-    /// What it is about; requests with one key belong together.
+    /// Identifies what the request is about: related requests share a key.
     pub key: Option<u64>,
-    /// The client says this is a repeat.
+    /// The client has marked the request as a retry.
     pub client_retry: bool,
-    /// It writes.
+    /// The request modifies data.
     pub write: bool,
-    /// Its body is still coming and passes through as it comes: its time runs from [`Event::BodyForwarded`](crate::Event::BodyForwarded) on.
+    /// The body is still arriving and is forwarded as it arrives. The request's deadline counts from
+    /// [`Event::BodyForwarded`](crate::Event::BodyForwarded) on.
     pub streamed_body: bool,
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnded {
     /// The request.
     pub request: RequestId,
     /// The attempt.
     pub attempt: AttemptNo,
-    /// Where it was sent.
+    /// The endpoint that it was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// Time since sending.
+    /// Time since the attempt was sent.
     pub elapsed: Duration,
-    /// The request is finished, by this outcome or before it.
+    /// The request is finished, by this outcome or earlier.
     pub finished: bool,
-    /// The values of [`LoadReports::fields`](crate::LoadReports::fields), if any came.
+    /// The values of [`LoadReports::fields`](crate::LoadReports::fields), if the answer had any.
     pub report: Option<Vec<f64>>,
 }
 
 /// The ways an attempt or probe can end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The endpoint answered successfully.
     Ok,
-    /// The endpoint answered with an error; it may have run.
+    /// The endpoint answered with an error; the request may have been processed.
     Error,
-    /// Turned away unseen.
+    /// The endpoint refused it, and states that it was not processed.
     NotProcessed,
-    /// No answer in time; it may have run.
+    /// No answer within the time-out; the request may have been processed.
     TimedOut,
-    /// No connection came up.
+    /// No connection could be established.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have been processed.
     Reset,
-    /// Cancelled; it may have run.
+    /// Cancelled after sending; the request may have been processed.
     Cancelled,
-    /// Never sent.
+    /// Ended before anything was sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Whether this outcome proves that the endpoint has not processed the attempt.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::NotProcessed | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
 impl Event {
-    /// A plain request of class 0 and tenant 0.
+    /// A request of class 0 and tenant 0 without key, work hint or marks.
     pub fn request(id: RequestId, time_left: Duration) -> Self {
         Event::Request(Request {
             id,
