--- a/src/api/actions.rs
+++ b/src/api/actions.rs
@@ -1,54 +1,56 @@
-//! What is to be done, and what operators may ask.
+//! Outputs of the balancer: actions for its caller to carry out, and statistics for operators.
 
 use super::{AttemptNo, EndpointId, RequestId, TimerToken};
 use std::time::Duration;
 
-/// Something to do.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt.
+    /// Send an attempt of a request.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// Give up on it after this long.
+        /// The attempt has timed out after this long.
         timeout: Duration,
-        /// Not to be written to the endpoint later than this from now, however long connecting takes: a
-        /// repeat's window is over by then, or the lease on the endpoint list has run out. The attempt ends as moot.
+        /// The attempt must not be written to the endpoint later than this from now, however long
+        /// connecting takes: the window for retries of a keyed request is over by then, or the lease on the
+        /// endpoint list has expired. An attempt not written by then ends as
+        /// [`Outcome::NotSent`](crate::Outcome::NotSent).
         write_within: Option<Duration>,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Final answer: refused. The client may safely retry.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Advice to stay away this long.
+        /// Advise the client to wait this long before it retries.
         retry_after: Option<Duration>,
     },
-    /// Final answer: failed; nothing is promised.
+    /// Final answer: failed. The request may or may not have been processed.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Wake the balancer.
+    /// Set a timer for the balancer.
     SetTimer {
-        /// Comes back with the event.
+        /// Passed back in [`Event::Timer`](crate::Event::Timer).
         token: TimerToken,
-        /// From now.
+        /// Time from now until it fires.
         after: Duration,
     },
-    /// Follow changes of the endpoint list (or stop).
+    /// Start a watch of the endpoint list (`true`), or stop it.
     Watch(bool),
-    /// Ask for the complete list once.
+    /// Fetch the complete endpoint list once.
     FetchList,
-    /// Ask an endpoint for its load.
+    /// Probe an endpoint for its health and load.
     Probe {
         /// The endpoint.
         endpoint: EndpointId,
@@ -58,32 +60,33 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// A line for the operators.
+    /// Write a log line.
     Log(String),
 }
 
-/// What operators may ask of a balancer.
+/// Statistics of a balancer, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BalancerStats {
-    /// Endpoints in the list.
+    /// Endpoints in the endpoint list.
     pub members: usize,
-    /// Those among them that get nothing new now: draining, suspended, or avoided for their failures.
+    /// Endpoints in the list that get no new requests now: draining, suspended, or avoided for their
+    /// failures.
     pub unavailable: usize,
-    /// Requests held until there is room.
+    /// Requests queued until there is capacity.
     pub queued: usize,
-    /// Requests held since the start as the lease on the endpoint list had run out.
+    /// Requests queued since the start because the lease on the endpoint list had expired.
     pub queued_without_lease: u64,
-    /// For how long that lease has been out of force since the start.
+    /// Total time since the start for which that lease was expired.
     pub time_without_lease: Duration,
-    /// Of the own zone, and of all others together.
+    /// The concurrency window of the own zone, and that of all other zones together.
     pub windows: [WindowStats; 2],
 }
 
-/// How many own attempts are out, and how many may be.
+/// Limit and current number of this balancer's attempts in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WindowStats {
-    /// Attempts that may be out.
+    /// Attempts that may be in flight.
     pub size: f64,
-    /// Attempts that are.
+    /// Attempts that are in flight.
     pub in_flight: u32,
 }
