--- a/src/api/endpoints.rs
+++ b/src/api/endpoints.rs
@@ -1,110 +1,115 @@
-//! What discovery brings: endpoints, changes of the list, and how a call fails.
+//! Input from discovery: endpoints, updates of the endpoint list, and failures of calls to discovery.
 
 use super::{CellId, EndpointId, KindId, ZoneId};
 use std::time::Duration;
 
-/// What discovery says of one endpoint.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointInfo {
-    /// Which endpoint.
+    /// The endpoint.
     pub id: EndpointId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Its machine kind.
+    /// The kind of machine that it runs on.
     pub kind: KindId,
     /// Its cell.
     pub cell: CellId,
-    /// Whether it may be sent to.
+    /// Its state in the list.
     pub state: EndpointState,
     /// Its weight, see [`WeightKind`](crate::WeightKind).
     pub weight: f64,
-    /// When its process last started; `None` means long ago.
+    /// When its process last started; `None` if so long ago that its slow start is over.
     pub started: Option<Duration>,
 }
 
-/// An endpoint's standing in the list.
+/// The state of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// May be sent to.
+    /// Takes requests.
     Ready,
-    /// Finishing its work; nothing new may be sent.
+    /// Finishes the requests that it has; must get no new ones.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Gone,
 }
 
-/// What discovery brings.
+/// An update of the endpoint list, or a change of the connection to discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Membership {
-    /// The complete list: what is missing from it is gone.
+    /// The complete list: endpoints missing from it are removed.
     Full(Vec<EndpointInfo>),
-    /// The complete list as last held, possibly stale; brought at the start.
+    /// The cached endpoint list, complete but possibly stale; read at the start.
     Cached(Vec<EndpointInfo>),
-    /// Changed entries only.
+    /// The changed entries only.
     Delta(Vec<EndpointInfo>),
-    /// What the discovery which was moved from had still to tell; no watch is up by it.
+    /// An update that still came from the address that discovery has moved away from. It does not mean that
+    /// a watch is up.
     FromPreviousAddress {
-        /// The complete list: what is missing from it is gone.
+        /// Whether the list is complete: endpoints missing from it are removed.
         whole: bool,
         /// Its entries.
         entries: Vec<EndpointInfo>,
     },
-    /// The list as a watch at an address that discovery has moved to first tells it, with no newer version: it may be
-    /// behind, as one that has just taken over is. The watch is up; whether the list is current is not known yet.
+    /// The first list from a watch at the address that discovery has moved to, of no newer version than the
+    /// list held. A discovery server that has just taken over may be behind: the watch is up, but whether
+    /// the list is current is not known yet.
     Unconfirmed {
-        /// The complete list: what is missing from it is gone.
+        /// Whether the list is complete: endpoints missing from it are removed.
         whole: bool,
         /// Its entries.
         entries: Vec<EndpointInfo>,
     },
-    /// A call to discovery failed or the subscription broke; the list stays.
+    /// A call to discovery failed, or the watch ended. The list stays as it is.
     Failed {
-        /// How long the watch that broke had brought nothing; zero where that is not known.
+        /// How long the watch had been silent when it ended; zero if that is not known.
         silent_for: Duration,
-        /// What failed.
+        /// The kind of failure.
         failure: DiscoveryFailure,
     },
-    /// Discovery is at another address from now on, and the watch at the old one is over; the list stays.
+    /// Discovery has moved to another address, and the watch at the old one is over. The list stays as it
+    /// is.
     Moved,
 }
 
-/// What failed at discovery.
+/// A failure of a call to discovery, or of a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryFailure {
-    /// A call found that nothing listens there.
+    /// The connection was refused: nothing listens at the address.
     NotListening,
-    /// A call was refused at once: it has taken nothing of discovery's time.
+    /// The call was refused at once, without having waited in discovery's queue.
     RefusedAtOnce,
-    /// A call was sent away after it had waited: others are served, in their turn.
+    /// The call was refused after it had waited in discovery's queue, as discovery serves other callers in
+    /// turn.
     SentAway,
-    /// No connection for a call came up.
+    /// No connection could be established.
     NotConnected,
-    /// A call was taken and got no whole answer, or the watch is over.
+    /// The call was accepted but got no complete answer, or the watch ended.
     Unanswered,
-    /// A watch that was up has fallen silent: what it misses counts as known whether or not it comes.
+    /// An open watch became silent. Changes that it fails to deliver count as known to this process all the
+    /// same.
     WatchSilent,
 }
 
-/// What a failure proves of discovery.
+/// What a failure proves about the state of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryEvidence {
-    /// It was down at that time: it can tell nobody anything.
+    /// It was down at that time, so that no process can have got a newer list.
     Down,
-    /// Nothing: it may be up behind a full queue of connections, or a link that is cut.
+    /// Nothing: it may be up, but behind a full listen queue or a network partition.
     Unknown,
-    /// It, or what stands before it, answered or took a connection: it may be up.
+    /// Discovery or a proxy in front of it answered or accepted a connection: it may be up.
     Up,
 }
 
 impl DiscoveryFailure {
-    /// Whether discovery, or the machine where it should be, has turned a call away. No connection and an
-    /// answer that is not whole or out of date are none.
+    /// Whether discovery, or the host at its address, has refused a call. A connection that could not be
+    /// established and an incomplete or outdated answer are no refusals.
     pub fn is_refusal(self) -> bool {
         use DiscoveryFailure::{NotListening, RefusedAtOnce, SentAway};
         matches!(self, NotListening | RefusedAtOnce | SentAway)
     }
 
-    /// What this failure proves.
+    /// What this failure proves about the state of discovery.
     pub fn evidence(self) -> DiscoveryEvidence {
         match self {
             DiscoveryFailure::NotListening => DiscoveryEvidence::Down,
@@ -118,7 +123,7 @@
 }
 
 impl EndpointInfo {
-    /// A warm, ready endpoint of zone 0, for tests and first steps.
+    /// A ready endpoint of zone 0 that is past its slow start, for tests and examples.
     pub fn ready(id: u64) -> Self {
         EndpointInfo {
             id: EndpointId(id),
