--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,6 +1,6 @@
-//! The module's whole interface: settings, events and actions.
+//! The interface of the balancing policy: settings, events and actions.
 //!
-//! Times are `Duration`s on the caller's clock, which may start anywhere.
+//! Points in time are `Duration`s on the caller's clock, whose origin is arbitrary.
 
 mod actions;
 mod endpoints;
