--- a/src/fleet/host/streams.rs
+++ b/src/fleet/host/streams.rs
@@ -3,7 +3,7 @@
 
 use super::Figures;
 use crate::TcpConnection;
-use crate::fleet::log::FRAME_MOST;
+use crate::fleet::log::MAX_FRAME_BYTES;
 use crossbeam_channel::{Sender, TrySendError};
 use futures_util::{SinkExt, StreamExt};
 use std::cell::Cell;
@@ -59,7 +59,7 @@
 }
 
 fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().little_endian().max_frame_length(FRAME_MOST).new_codec()
+    LengthDelimitedCodec::builder().little_endian().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
 /// Takes connections, and the frames that come over them.
--- a/src/fleet/log/agreed.rs
+++ b/src/fleet/log/agreed.rs
@@ -6,11 +6,11 @@
 use std::collections::BTreeMap;
 
 /// Cells there may be.
-pub const CELLS_MOST: usize = 10_000;
+pub const MAX_KEYS: usize = 10_000;
 /// Bytes of all cells together: the whole state goes to others in one frame.
-pub const STATE_MOST: usize = 8 << 20;
+pub const MAX_STATE_BYTES: usize = 8 << 20;
 /// Bytes of a cell's name and content together.
-pub const CELL_MOST: usize = 64 << 10;
+pub const MAX_KEY_VALUE_BYTES: usize = 64 << 10;
 /// Clients that are remembered: beyond them the one that has ordered nothing for longest is forgotten.
 const CLIENTS_MOST: usize = 4096;
 
@@ -18,7 +18,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Put {
     /// The cell's name.
-    pub cell: String,
+    #[serde(rename = "cell")]
+    pub key: String,
     /// What it is to hold; none to remove it.
     pub bytes: Option<Vec<u8>>,
     /// Only if its last change was at this index, 0 for a cell that is not there; none for in any case.
@@ -49,7 +50,7 @@
 
 /// A cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Cell {
+pub struct Value {
     /// The index of its last change.
     pub index: u64,
     /// What it holds.
@@ -71,7 +72,8 @@
 pub struct Agreed {
     /// The names of those with a part in the vote, by number.
     pub names: BTreeMap<u64, String>,
-    cells: BTreeMap<String, Cell>,
+    #[serde(rename = "cells")]
+    values: BTreeMap<String, Value>,
     /// Bytes of all cells.
     size: usize,
     clients: BTreeMap<u128, Client>,
@@ -98,14 +100,14 @@
     }
 
     /// What a cell holds, and since when.
-    pub fn cell(&self, name: &str) -> Option<&Cell> {
-        self.cells.get(name)
+    pub fn get(&self, name: &str) -> Option<&Value> {
+        self.values.get(name)
     }
 
     /// All cells whose names begin so, by name.
-    pub fn cells<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Cell)> {
-        let from = self.cells.range(prefix.to_owned()..);
-        from.take_while(move |(name, _)| name.starts_with(prefix)).map(|(name, cell)| (name.as_str(), cell))
+    pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Value)> {
+        let from = self.values.range(prefix.to_owned()..);
+        from.take_while(move |(key, _)| key.starts_with(prefix)).map(|(key, value)| (key.as_str(), value))
     }
 
     /// What became of a client's order, where it is still known.
@@ -145,21 +147,22 @@
     }
 
     fn put(&mut self, index: u64, put: Put) -> Outcome {
-        let Put { cell, bytes, expected } = put;
-        let now = self.cells.get(&cell).map_or(0, |cell| cell.index);
+        let Put { key, bytes, expected } = put;
+        let now = self.values.get(&key).map_or(0, |value| value.index);
         if expected.is_some_and(|expected| expected != now) {
             return Outcome::Changed(now);
         }
-        let before = self.cells.get(&cell).map_or(0, |known| cell.len() + known.bytes.len());
-        let size = bytes.as_ref().map_or(0, |bytes| cell.len() + bytes.len());
-        let fits = now > 0 || self.cells.len() < CELLS_MOST;
-        if size > 0 && (!fits || size > CELL_MOST || self.size - before + size > STATE_MOST) {
+        let before = self.values.get(&key).map_or(0, |known| key.len() + known.bytes.len());
+        let size = bytes.as_ref().map_or(0, |bytes| key.len() + bytes.len());
+        let fits = now > 0 || self.values.len() < MAX_KEYS;
+        if size > 0 && (!fits || size > MAX_KEY_VALUE_BYTES || self.size - before + size > MAX_STATE_BYTES)
+        {
             return Outcome::TooMuch;
         }
         self.size = self.size - before + size;
         match bytes {
-            None => drop(self.cells.remove(&cell)),
-            Some(bytes) => drop(self.cells.insert(cell, Cell { index, bytes })),
+            None => drop(self.values.remove(&key)),
+            Some(bytes) => drop(self.values.insert(key, Value { index, bytes })),
         }
         Outcome::Done(index)
     }
--- a/src/fleet/log/mod.rs
+++ b/src/fleet/log/mod.rs
@@ -16,11 +16,11 @@
 mod voter;
 mod wire;
 
-pub use agreed::{Agreed, CELL_MOST, CELLS_MOST, Cell, Order, Outcome, Put, STATE_MOST};
+pub use agreed::{Agreed, MAX_KEY_VALUE_BYTES, MAX_KEYS, MAX_STATE_BYTES, Order, Outcome, Put, Value};
 pub use founding::{Disturbed, Founding, Members, Stage, history};
 pub use storage::Unreadable;
 pub use view::{Part, View};
-pub use wire::{FRAME_MOST, Unheard};
+pub use wire::{MAX_FRAME_BYTES, Unheard};
 
 use crate::state::memory::{Change, Memory, Promise};
 use founding::{Founder, Turn};
@@ -80,7 +80,7 @@
     #[error("{ORDERS_MOST} orders wait for their outcome")]
     Full,
     /// It is larger than may be.
-    #[error("larger than {CELL_MOST} bytes")]
+    #[error("larger than {MAX_KEY_VALUE_BYTES} bytes")]
     TooLarge,
 }
 
@@ -222,7 +222,7 @@
 
     /// Takes an order; its number. It is sent until it has an outcome.
     pub fn order(&mut self, now: Duration, put: Put, out: &mut Vec<Output>) -> Result<u64, Refused> {
-        if put.cell.len() + put.bytes.as_ref().map_or(0, Vec::len) > CELL_MOST {
+        if put.key.len() + put.bytes.as_ref().map_or(0, Vec::len) > MAX_KEY_VALUE_BYTES {
             return Err(Refused::TooLarge);
         }
         if self.orders.len() >= ORDERS_MOST {
--- a/src/fleet/log/wire.rs
+++ b/src/fleet/log/wire.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 /// The longest frame, in bytes. A snapshot is the longest message.
-pub const FRAME_MOST: usize = 16 << 20;
+pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
 /// Why a frame was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -3,12 +3,12 @@
 #[path = "support/agreement.rs"]
 mod net;
 
-use gullpulley::fleet::log::{CELL_MOST, Disturbed, Outcome, Part, Put, Refused};
+use gullpulley::fleet::log::{Disturbed, MAX_KEY_VALUE_BYTES, Outcome, Part, Put, Refused};
 use net::{Net, ms, name};
 use std::time::Duration;
 
 fn put(cell: &str, bytes: &[u8], expected: Option<u64>) -> Put {
-    Put { cell: cell.to_owned(), bytes: Some(bytes.to_vec()), expected }
+    Put { key: cell.to_owned(), bytes: Some(bytes.to_vec()), expected }
 }
 
 /// An order given at a process ends within this; when it did.
@@ -41,7 +41,7 @@
 #[test]
 fn what_is_too_large_or_too_much_is_refused_at_once() {
     let mut net = Net::founded(3, 0, 1);
-    assert_eq!(net.order(0, put("large", &vec![0; CELL_MOST], None)), Err(Refused::TooLarge));
+    assert_eq!(net.order(0, put("large", &vec![0; MAX_KEY_VALUE_BYTES], None)), Err(Refused::TooLarge));
     net.passes = Box::new(|_, _| false);
     net.run(ms(3000));
     let taken = (0..100).filter(|_| net.order(0, put("a", b"", None)).is_ok()).count();
--- a/tests/support/agreement.rs
+++ b/tests/support/agreement.rs
@@ -163,7 +163,7 @@
     /// Sets a cell to its order's number, whatever it holds.
     pub fn set(&mut self, number: usize, cell: &str) -> usize {
         let bytes = Some(self.given.len().to_le_bytes().to_vec());
-        self.order(number, Put { cell: cell.to_owned(), bytes, expected: None }).unwrap()
+        self.order(number, Put { key: cell.to_owned(), bytes, expected: None }).unwrap()
     }
 
     pub fn run(&mut self, lasts: Duration) {
@@ -249,7 +249,7 @@
     /// What a cell holds at each that runs.
     pub fn cells(&self, cell: &str) -> Vec<Option<Vec<u8>>> {
         let logs = self.places.iter().filter_map(|place| place.log.as_ref());
-        logs.map(|log| log.agreed().and_then(|agreed| agreed.cell(cell)).map(|cell| cell.bytes.clone()))
+        logs.map(|log| log.agreed().and_then(|agreed| agreed.get(cell)).map(|value| value.bytes.clone()))
             .collect()
     }
 
