--- a/src/fleet/host/log.rs
+++ b/src/fleet/host/log.rs
@@ -117,7 +117,7 @@
                 match output {
                     Output::Send(to, frame) => self.post(&to, frame),
                     Output::Write(batch, changes) => desk.waiting.push_back((batch, changes)),
-                    Output::Ended(..) => {} // nobody orders yet
+                    Output::Completed(..) => {} // nobody orders yet
                 }
             }
             if let Some(batch) = desk.submit() {
--- a/src/fleet/log/agreed.rs
+++ b/src/fleet/log/agreed.rs
@@ -28,7 +28,7 @@
 
 /// An order: it is carried out once, however often it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct Command {
     /// Who orders: drawn at each start of a process.
     pub client: u128,
     /// The orders of a client are numbered from 1.
@@ -116,8 +116,8 @@
     }
 
     /// Carries out an order; none where it has been before, or is too old to tell.
-    pub(super) fn carry_out(&mut self, index: u64, order: Order) -> Option<Outcome> {
-        let Order { client, number, put } = order;
+    pub(super) fn carry_out(&mut self, index: u64, order: Command) -> Option<Outcome> {
+        let Command { client, number, put } = order;
         if !self.is_new(index, client, number) {
             return None;
         }
--- a/src/fleet/log/mod.rs
+++ b/src/fleet/log/mod.rs
@@ -16,7 +16,7 @@
 mod voter;
 mod wire;
 
-pub use agreed::{Agreed, MAX_KEY_VALUE_BYTES, MAX_KEYS, MAX_STATE_BYTES, Order, Outcome, Put, Value};
+pub use agreed::{Agreed, Command, MAX_KEY_VALUE_BYTES, MAX_KEYS, MAX_STATE_BYTES, Outcome, Put, Value};
 pub use founding::{Disturbed, Founding, Members, Stage, history};
 pub use storage::Unreadable;
 pub use view::{Part, View};
@@ -70,12 +70,12 @@
     /// These changes are to be made durable as one, and [`Log::durable`] told; batches are numbered from 1.
     Write(u64, Vec<Change>),
     /// An order of this process has come to an end: its number, and what became of it.
-    Ended(u64, Outcome),
+    Completed(u64, Outcome),
 }
 
 /// Why an order was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Refused {
+pub enum ProposeError {
     /// Too many wait.
     #[error("{ORDERS_MOST} orders wait for their outcome")]
     Full,
@@ -221,12 +221,12 @@
     }
 
     /// Takes an order; its number. It is sent until it has an outcome.
-    pub fn order(&mut self, now: Duration, put: Put, out: &mut Vec<Output>) -> Result<u64, Refused> {
+    pub fn propose(&mut self, now: Duration, put: Put, out: &mut Vec<Output>) -> Result<u64, ProposeError> {
         if put.key.len() + put.bytes.as_ref().map_or(0, Vec::len) > MAX_KEY_VALUE_BYTES {
-            return Err(Refused::TooLarge);
+            return Err(ProposeError::TooLarge);
         }
         if self.orders.len() >= ORDERS_MOST {
-            return Err(Refused::Full);
+            return Err(ProposeError::Full);
         }
         self.numbered += 1;
         self.orders.insert(self.numbered, put);
@@ -334,14 +334,14 @@
                     Stand::Founding(_) => {}
                 }
             }
-            Message::Order { order, passed } => {
+            Message::Command { order, passed } => {
                 if let Stand::Votes(voter) = &mut self.stand
                     && !voter.propose(&order)
                     && !passed
                     && let Some(leader) = voter.agreed.names.get(&voter.leader()).cloned()
                     && leader != self.settings.name
                 {
-                    self.send(leader, &Message::Order { order, passed: true }, out);
+                    self.send(leader, &Message::Command { order, passed: true }, out);
                 }
             }
             Message::Follow { from, history, after } => self.answer(from, history, after, out),
@@ -443,7 +443,7 @@
             }
             followed.applied = entry.index;
             match entry.says {
-                Says::Order(bytes) => {
+                Says::Command(bytes) => {
                     if let Ok(order) = postcard::from_bytes(&bytes) {
                         followed.agreed.carry_out(entry.index, order);
                     }
@@ -483,7 +483,7 @@
 
     fn send_order(&mut self, number: u64, out: &mut Vec<Output>) {
         let Some(put) = self.orders.get(&number).cloned() else { return };
-        let order = Order { client: self.settings.client, number, put };
+        let order = Command { client: self.settings.client, number, put };
         let to = match &mut self.stand {
             Stand::Founding(_) => None,
             Stand::Votes(voter) => match voter.propose(&order) {
@@ -493,7 +493,7 @@
             Stand::Follows(_) => self.next_voter(),
         };
         if let Some(to) = to.filter(|to| *to != self.settings.name) {
-            self.send(to, &Message::Order { order, passed: false }, out);
+            self.send(to, &Message::Command { order, passed: false }, out);
         }
     }
 
@@ -513,7 +513,7 @@
         let ended: Vec<(u64, Outcome)> = self.orders.keys().filter_map(ended).collect();
         for (number, outcome) in ended {
             self.orders.remove(&number);
-            out.push(Output::Ended(number, outcome));
+            out.push(Output::Completed(number, outcome));
         }
     }
 
--- a/src/fleet/log/storage.rs
+++ b/src/fleet/log/storage.rs
@@ -59,7 +59,7 @@
         let mut room = bytes;
         let fits = |entry: &&Entry| {
             let size = match &entry.says {
-                Says::Order(bytes) => bytes.len(),
+                Says::Command(bytes) => bytes.len(),
                 Says::Nothing | Says::Voters(..) => 0,
             } + 64;
             let fits = room > 0;
--- a/src/fleet/log/voter.rs
+++ b/src/fleet/log/voter.rs
@@ -3,7 +3,7 @@
 //! Nothing is said that rests on what is not durable: the crate's promises wait until their batch is. A leader's entries go
 //! out at once, as its own word for them counts only once they are durable here too.
 
-use super::agreed::{Agreed, Order, Outcome};
+use super::agreed::{Agreed, Command, Outcome};
 use super::storage::{Kept, Unreadable};
 use super::wire::{Entry, Said, Says, Snapshot, Step, Voters, change};
 use crate::state::memory::{Change, Memory, Promise};
@@ -183,7 +183,7 @@
     }
 
     /// Proposes an order; whether it was taken: only a leader does, and not more than fits.
-    pub(super) fn propose(&mut self, order: &Order) -> bool {
+    pub(super) fn propose(&mut self, order: &Command) -> bool {
         let bytes = postcard::to_stdvec(order).unwrap_or_default(); // writing to memory does not fail
         self.is_leader() && self.raw.propose(Vec::new(), bytes).is_ok()
     }
@@ -291,8 +291,8 @@
         self.applied = entry.index;
         match entry.says {
             Says::Nothing => {}
-            Says::Order(bytes) => {
-                let Ok(order) = postcard::from_bytes::<Order>(&bytes) else { return };
+            Says::Command(bytes) => {
+                let Ok(order) = postcard::from_bytes::<Command>(&bytes) else { return };
                 let (client, number) = (order.client, order.number);
                 if let Some(outcome) = self.agreed.carry_out(entry.index, order) {
                     deeds.told.push((client, number, outcome));
--- a/src/fleet/log/wire.rs
+++ b/src/fleet/log/wire.rs
@@ -41,9 +41,10 @@
         says: Said,
     },
     /// An order on its way to the leader.
-    Order {
+    #[serde(rename = "Order")]
+    Command {
         /// What is to be done.
-        order: super::Order,
+        order: super::Command,
         /// A voter has passed it on: it goes no further than the next one.
         passed: bool,
     },
@@ -111,7 +112,8 @@
     /// Nothing: a leader begins its term so.
     Nothing,
     /// An order, encoded.
-    Order(Vec<u8>),
+    #[serde(rename = "Order")]
+    Command(Vec<u8>),
     /// Who votes, changed; none to leave the joint rule of two sets.
     Voters(Vec<Step>, Vec<u8>),
 }
@@ -239,7 +241,7 @@
         let (term, index) = (entry.term, entry.index);
         let says = match entry.get_entry_type() {
             EntryType::EntryNormal if entry.data.is_empty() => Says::Nothing,
-            EntryType::EntryNormal => Says::Order(entry.data.to_vec()),
+            EntryType::EntryNormal => Says::Command(entry.data.to_vec()),
             EntryType::EntryConfChangeV2 => {
                 // Made by this process a moment ago: the crate keeps it in its own form.
                 let change = <ConfChangeV2 as protobuf::Message>::parse_from_bytes(&entry.data).ok()?;
@@ -259,7 +261,7 @@
         let mut entry = eraftpb::Entry { term: self.term, index: self.index, ..eraftpb::Entry::default() };
         match self.says {
             Says::Nothing => {}
-            Says::Order(bytes) => entry.data = bytes.into(),
+            Says::Command(bytes) => entry.data = bytes.into(),
             Says::Voters(steps, context) => {
                 entry.set_entry_type(EntryType::EntryConfChangeV2);
                 let change = change(&steps);
--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -3,7 +3,7 @@
 #[path = "support/agreement.rs"]
 mod net;
 
-use gullpulley::fleet::log::{Disturbed, MAX_KEY_VALUE_BYTES, Outcome, Part, Put, Refused};
+use gullpulley::fleet::log::{Disturbed, MAX_KEY_VALUE_BYTES, Outcome, Part, ProposeError, Put};
 use net::{Net, ms, name};
 use std::time::Duration;
 
@@ -41,12 +41,15 @@
 #[test]
 fn what_is_too_large_or_too_much_is_refused_at_once() {
     let mut net = Net::founded(3, 0, 1);
-    assert_eq!(net.order(0, put("large", &vec![0; MAX_KEY_VALUE_BYTES], None)), Err(Refused::TooLarge));
+    assert_eq!(
+        net.order(0, put("large", &vec![0; MAX_KEY_VALUE_BYTES], None)),
+        Err(ProposeError::TooLarge)
+    );
     net.passes = Box::new(|_, _| false);
     net.run(ms(3000));
     let taken = (0..100).filter(|_| net.order(0, put("a", b"", None)).is_ok()).count();
     assert_eq!(taken, 64);
-    assert_eq!(net.order(0, put("a", b"", None)), Err(Refused::Full));
+    assert_eq!(net.order(0, put("a", b"", None)), Err(ProposeError::Full));
 }
 
 #[test]
--- a/tests/support/agreement.rs
+++ b/tests/support/agreement.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code)] // each test uses a part
 
-use gullpulley::fleet::log::{Log, Outcome, Output, Part, Put, Refused, Settings, View};
+use gullpulley::fleet::log::{Log, Outcome, Output, Part, ProposeError, Put, Settings, View};
 use gullpulley::state::memory::{Change, Identity, Memory};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -150,10 +150,10 @@
     }
 
     /// Gives an order at a process; which it is.
-    pub fn order(&mut self, number: usize, put: Put) -> Result<usize, Refused> {
+    pub fn order(&mut self, number: usize, put: Put) -> Result<usize, ProposeError> {
         let mut out = Vec::new();
         let log = self.places[number].log.as_mut().unwrap();
-        let numbered = log.order(self.now, put, &mut out)?;
+        let numbered = log.propose(self.now, put, &mut out)?;
         let life = self.places[number].lives;
         self.given.push(Given { at: self.now, by: number, life, number: numbered, ended: None });
         self.carry_out(number, out);
@@ -295,7 +295,7 @@
                     let at = after.max(self.now + takes).max(place.disk_stalled_until);
                     place.writing.push_back((at, batch, changes));
                 }
-                Output::Ended(ended, outcome) => {
+                Output::Completed(ended, outcome) => {
                     let life = self.places[number].lives;
                     let of =
                         |given: &&mut Given| (given.by, given.life, given.number) == (number, life, ended);
