--- a/src/fleet/host/log.rs
+++ b/src/fleet/host/log.rs
@@ -5,7 +5,7 @@
 //! which others are taken for lost.
 
 use super::{DiskSays, Figures};
-use crate::fleet::log::{Log, Output, Part, Settings, View};
+use crate::fleet::log::{Log, Output, Role, Settings, Status};
 use crate::state::memory::{Change, Memory};
 use crate::state::writer::{Refused, Writer};
 use crossbeam_channel::{Receiver, after, never, select_biased};
@@ -56,7 +56,7 @@
     pub(super) disk: Receiver<DiskSays>,
     pub(super) posts: mpsc::Sender<(SocketAddr, Vec<u8>)>,
     pub(super) figures: Arc<Figures>,
-    pub(super) says: watch::Sender<Option<View>>,
+    pub(super) says: watch::Sender<Option<Status>>,
 }
 
 /// What the core wants written, and what the disk has taken of it.
@@ -101,17 +101,17 @@
                             log.durable(now(), batch, &mut out);
                         }
                     }
-                    Ok(DiskSays::Over) => log.disk_over(),
+                    Ok(DiskSays::Over) => log.stop(),
                     Err(_) => disk = never(), // nothing is kept here
                 },
                 recv(self.frames) -> frame => match frame {
-                    Ok(frame) => log.hear(now(), &frame, &mut out),
+                    Ok(frame) => log.receive(now(), &frame, &mut out),
                     Err(_) => return,
                 },
                 recv(after(wait)) -> _ => log.tick(now(), &mut out),
             }
             if self.is_older() {
-                log.disk_over();
+                log.stop();
             }
             for output in out.drain(..) {
                 match output {
@@ -123,7 +123,7 @@
             if let Some(batch) = desk.submit() {
                 log.durable(now(), batch, &mut out);
             }
-            self.show(log.view());
+            self.show(log.status());
         }
     }
 
@@ -160,7 +160,7 @@
     }
 
     /// Says what has changed; the newest view is there for all to read.
-    fn show(&self, view: View) {
+    fn show(&self, view: Status) {
         let before = self.says.borrow().clone();
         if before.as_ref() == Some(&view) {
             return;
@@ -201,29 +201,29 @@
 }
 
 /// What of a view is worth a line.
-fn tell(before: Option<&View>, view: &View) {
-    let same = |part: fn(&View) -> String| before.map(part) == Some(part(view));
-    if !same(|view| format!("{:?} {:?}", view.part, view.leader)) {
+fn tell(before: Option<&Status>, view: &Status) {
+    let same = |part: fn(&Status) -> String| before.map(part) == Some(part(view));
+    if !same(|view| format!("{:?} {:?}", view.role, view.leader)) {
         let leader = view.leader.as_deref().unwrap_or("nobody");
         let voters = view.voters.join(" ");
-        match view.part {
-            Part::Founding => {
+        match view.role {
+            Role::Founding => {
                 info!(voters, "fleet log: none yet: it begins when all voters are here: {voters}")
             }
-            Part::Leader => info!(term = view.term, "fleet log: this process leads in term {}", view.term),
-            Part::Voter => info!(leader, term = view.term, "fleet log: votes; {leader} leads"),
-            Part::Learner => {
+            Role::Leader => info!(term = view.term, "fleet log: this process leads in term {}", view.term),
+            Role::Voter => info!(leader, term = view.term, "fleet log: votes; {leader} leads"),
+            Role::Learner => {
                 info!(leader, "fleet log: learns, to vote in the place of one that lost its memory")
             }
-            Part::Follower => info!(voters, "fleet log: follows what these agree on: {voters}"),
+            Role::Follower => info!(voters, "fleet log: follows what these agree on: {voters}"),
         }
     }
     if !same(|view| format!("{:?}", view.voters)) && before.is_some() {
         info!("fleet log: voters are now {}", view.voters.join(" "));
     }
-    if !same(|view| view.lost.join(" ")) && !view.lost.is_empty() {
-        let lost = view.lost.join(" ");
-        if view.lost.len() * 2 > view.voters.len() {
+    if !same(|view| view.lost_state.join(" ")) && !view.lost_state.is_empty() {
+        let lost = view.lost_state.join(" ");
+        if view.lost_state.len() * 2 > view.voters.len() {
             error!(
                 lost,
                 "fleet log: more than half of the voters have lost their memory: nothing is agreed any more"
@@ -232,12 +232,12 @@
             warn!(lost, "fleet log: these have lost their memory, and are let in again: {lost}");
         }
     }
-    if !same(|view| format!("{:?}", view.disturbed))
-        && let Some(disturbed) = &view.disturbed
+    if !same(|view| format!("{:?}", view.founding_conflict))
+        && let Some(disturbed) = &view.founding_conflict
     {
         error!("fleet log: {disturbed}");
     }
-    if view.mute && before.is_some_and(|before| !before.mute) {
+    if view.stopped && before.is_some_and(|before| !before.stopped) {
         error!("fleet log: nothing is kept any more, so this process votes no longer");
     }
 }
--- a/src/fleet/host/mod.rs
+++ b/src/fleet/host/mod.rs
@@ -168,7 +168,7 @@
     view: watch::Receiver<Option<View>>,
     /// What the process brings to the log, where there is one.
     joining: Option<Sender<Joining>>,
-    log: watch::Receiver<Option<core::View>>,
+    log: watch::Receiver<Option<core::Status>>,
 }
 
 impl Fleet {
@@ -251,7 +251,7 @@
     }
 
     /// How the log is: none where there are no voters, or until this process has joined.
-    pub fn log(&self) -> watch::Receiver<Option<core::View>> {
+    pub fn log(&self) -> watch::Receiver<Option<core::Status>> {
         self.log.clone()
     }
 
--- a/src/fleet/log/founding.rs
+++ b/src/fleet/log/founding.rs
@@ -46,7 +46,7 @@
 
 /// Why there can be no founding as things are.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Disturbed {
+pub enum FoundingConflict {
     /// This process is configured with other voters than that one.
     #[error("{0} has other fleet.voters than this process: no log begins until they are alike")]
     OtherVoters(String),
@@ -97,15 +97,17 @@
     }
 
     /// Why it does not go on, where that can be told.
-    pub(super) fn disturbed(&self) -> Option<Disturbed> {
+    pub(super) fn founding_conflict(&self) -> Option<FoundingConflict> {
         let own = self.promised.as_ref()?;
         self.heard.values().find_map(|other| match &other.stage {
             Stage::Promised(members) if !members.keys().eq(own.keys()) => {
-                Some(Disturbed::OtherVoters(other.from.clone()))
+                Some(FoundingConflict::OtherVoters(other.from.clone()))
+            }
+            Stage::Promised(members) if members != own => {
+                Some(FoundingConflict::OtherMembers(other.from.clone()))
             }
-            Stage::Promised(members) if members != own => Some(Disturbed::OtherMembers(other.from.clone())),
             _ if own.get(&other.from).is_some_and(|id| *id != other.id) => {
-                Some(Disturbed::OtherMembers(other.from.clone()))
+                Some(FoundingConflict::OtherMembers(other.from.clone()))
             }
             _ => None,
         })
@@ -125,7 +127,7 @@
 }
 
 /// The name of a log: two foundings have different ones.
-pub fn history(members: &Members) -> u64 {
+pub fn log_id(members: &Members) -> u64 {
     let text = postcard::to_stdvec(members).unwrap_or_default(); // writing to memory does not fail
     let (low, high) = (crc32fast::hash(&text), crc32fast::hash(&[&text[..], b"history"].concat()));
     (u64::from(high) << 32 | u64::from(low)).max(1)
--- a/src/fleet/log/mod.rs
+++ b/src/fleet/log/mod.rs
@@ -2,25 +2,27 @@
 //!
 //! Consensus is a kept crate's (raft): pre-vote, a leader that steps down without its majority, learners, joint changes of
 //! voters. `wire` has its messages in a form of our own, `storage` what it keeps, `voter` the crate with its disk, `founding`
-//! how a log begins, `agreed` the state that comes of it. No I/O, and time is handed in.
+//! how a log begins, `replicated_state` the state that comes of it. No I/O, and time is handed in.
 //!
 //! A voter's number is drawn with its state folder. Who comes back with another folder is somebody else, who may learn and
 //! then take the place of the one of its name; the old number never votes again. Where more than half of the voters have
-//! lost their memory nothing is agreed any more, and that is said ([`View::lost`]): the rest may not go on as if there had
+//! lost their memory nothing is agreed any more, and that is said ([`Status::lost_state`]): the rest may not go on as if there had
 //! been no others.
 
-mod agreed;
 mod founding;
+mod replicated_state;
+mod status;
 mod storage;
-mod view;
 mod voter;
 mod wire;
 
-pub use agreed::{Agreed, Command, MAX_KEY_VALUE_BYTES, MAX_KEYS, MAX_STATE_BYTES, Outcome, Put, Value};
-pub use founding::{Disturbed, Founding, Members, Stage, history};
-pub use storage::Unreadable;
-pub use view::{Part, View};
-pub use wire::{MAX_FRAME_BYTES, Unheard};
+pub use founding::{Founding, FoundingConflict, Members, Stage, log_id};
+pub use replicated_state::{
+    Command, MAX_KEY_VALUE_BYTES, MAX_KEYS, MAX_STATE_BYTES, Outcome, Put, ReplicatedState, Value,
+};
+pub use status::{Role, Status};
+pub use storage::LoadError;
+pub use wire::{FrameError, MAX_FRAME_BYTES};
 
 use crate::state::memory::{Change, Memory, Promise};
 use founding::{Founder, Turn};
@@ -88,7 +90,7 @@
 pub struct Log {
     settings: Settings,
     stand: Stand,
-    history: u64,
+    log_id: u64,
     /// The founding that is known, for those that ask.
     founded: Option<Members>,
     ticks: u32,
@@ -103,7 +105,7 @@
     /// Names of voters that have spoken, by number: one that learns knows them by nothing else.
     spoke: BTreeMap<u64, String>,
     dropped: [u64; 3],
-    mute: bool,
+    stopped: bool,
     /// The batch that makes the promise of a founding durable, and what it promises.
     promising: Option<(u64, Members)>,
     batches: u64,
@@ -118,14 +120,14 @@
 /// What one that follows has.
 #[derive(Default)]
 struct Followed {
-    agreed: Agreed,
+    agreed: ReplicatedState,
     applied: u64,
     voters: Voters,
 }
 
 impl Log {
     /// A process with what it remembers.
-    pub fn new(settings: Settings, memory: &Memory, now: Duration) -> Result<Self, Unreadable> {
+    pub fn new(settings: Settings, memory: &Memory, now: Duration) -> Result<Self, LoadError> {
         let granted =
             |name| memory.grants.get(name).and_then(|bytes| postcard::from_bytes::<Members>(bytes).ok());
         let founded = granted(FOUNDED);
@@ -136,11 +138,11 @@
                 Stand::Founding(Founder::new(&settings.name, settings.id, named, promised))
             }
         };
-        let history = founded.as_ref().map_or(0, history);
-        let (ticks, numbered, asked, batches, mute) = Default::default();
+        let log_id = founded.as_ref().map_or(0, log_id);
+        let (ticks, numbered, asked, batches, stopped) = Default::default();
         Ok(Log {
             stand,
-            history,
+            log_id,
             founded,
             ticks,
             tick_at: now,
@@ -150,7 +152,7 @@
             lost: BTreeMap::new(),
             spoke: BTreeMap::new(),
             dropped: [0; 3],
-            mute,
+            stopped,
             promising: None,
             batches,
             settings,
@@ -169,7 +171,7 @@
         }
         self.tick_at = now + self.settings.round_trip;
         self.ticks = self.ticks.wrapping_add(1);
-        if self.mute {
+        if self.stopped {
             return;
         }
         let again = self.ticks.is_multiple_of(AGAIN);
@@ -209,8 +211,8 @@
     }
 
     /// Takes a frame as it came.
-    pub fn hear(&mut self, now: Duration, frame: &[u8], out: &mut Vec<Output>) {
-        if self.mute {
+    pub fn receive(&mut self, now: Duration, frame: &[u8], out: &mut Vec<Output>) {
+        if self.stopped {
             return;
         }
         match wire::open(&self.settings.cluster, frame) {
@@ -254,12 +256,12 @@
     }
 
     /// Nothing is kept any more: whatever this process says from now on could be forgotten, so it says nothing.
-    pub fn disk_over(&mut self) {
-        self.mute = true;
+    pub fn stop(&mut self) {
+        self.stopped = true;
     }
 
     /// What is agreed, as far as it has come here.
-    pub fn agreed(&self) -> Option<&Agreed> {
+    pub fn state(&self) -> Option<&ReplicatedState> {
         match &self.stand {
             Stand::Founding(_) => None,
             Stand::Votes(voter) => Some(&voter.agreed),
@@ -268,60 +270,60 @@
     }
 
     /// How things are.
-    pub fn view(&self) -> View {
-        let named = |agreed: &Agreed, ids: &[u64]| {
+    pub fn status(&self) -> Status {
+        let named = |agreed: &ReplicatedState, ids: &[u64]| {
             ids.iter().filter_map(|id| agreed.names.get(id).cloned()).collect::<Vec<_>>()
         };
-        let (mut changing, mut learners) = (false, Vec::new());
-        let (part, leader, term, applied, voters) = match &self.stand {
+        let (mut reconfiguring, mut learners) = (false, Vec::new());
+        let (role, leader, term, applied, voters) = match &self.stand {
             Stand::Founding(_) => {
-                (Part::Founding, None, 0, 0, self.settings.voters.iter().cloned().collect())
+                (Role::Founding, None, 0, 0, self.settings.voters.iter().cloned().collect())
             }
             Stand::Votes(voter) => {
                 let voters = voter.voters();
-                let part = match voter.is_leader() {
-                    true => Part::Leader,
-                    false if voters.votes(self.settings.id) => Part::Voter,
-                    false => Part::Learner,
+                let role = match voter.is_leader() {
+                    true => Role::Leader,
+                    false if voters.votes(self.settings.id) => Role::Voter,
+                    false => Role::Learner,
                 };
                 let leader = voter.agreed.names.get(&voter.leader()).cloned();
-                changing = !voters.outgoing.is_empty();
+                reconfiguring = !voters.outgoing.is_empty();
                 learners = named(&voter.agreed, &voters.learners);
-                (part, leader, voter.term(), voter.applied, named(&voter.agreed, &voters.voters))
+                (role, leader, voter.term(), voter.applied, named(&voter.agreed, &voters.voters))
             }
             Stand::Follows(followed) => (
-                Part::Follower,
+                Role::Follower,
                 None,
                 0,
                 followed.applied,
                 named(&followed.agreed, &followed.voters.voters),
             ),
         };
-        View {
-            part,
-            history: self.history,
+        Status {
+            role,
+            log_id: self.log_id,
             leader,
             term,
             applied,
             voters,
             learners,
-            changing,
-            lost: self.lost.keys().cloned().collect(),
-            disturbed: match &self.stand {
-                Stand::Founding(founder) => founder.disturbed(),
+            reconfiguring,
+            lost_state: self.lost.keys().cloned().collect(),
+            founding_conflict: match &self.stand {
+                Stand::Founding(founder) => founder.founding_conflict(),
                 _ => None,
             },
-            waiting: self.orders.len(),
-            dropped: self.dropped,
-            mute: self.mute,
+            pending_commands: self.orders.len(),
+            dropped_frames: self.dropped,
+            stopped: self.stopped,
         }
     }
 
     fn take(&mut self, message: Message, out: &mut Vec<Output>) {
         match message {
             Message::Founding(founding) => self.hear_founding(founding, out),
-            Message::Vote { history, by, says } => {
-                if history != self.history || says.to != self.settings.id {
+            Message::Vote { log_id, by, says } => {
+                if log_id != self.log_id || says.to != self.settings.id {
                     return;
                 }
                 if self.spoke.len() < SPOKE_MOST {
@@ -344,9 +346,9 @@
                     self.send(leader, &Message::Command { order, passed: true }, out);
                 }
             }
-            Message::Follow { from, history, after } => self.answer(from, history, after, out),
-            Message::Agreed { history, snapshot, entries } => {
-                if history == self.history {
+            Message::Follow { from, log_id, after } => self.answer(from, log_id, after, out),
+            Message::Committed { log_id, snapshot, entries } => {
+                if log_id == self.log_id {
                     self.follow(snapshot, entries, out);
                 }
             }
@@ -375,7 +377,7 @@
             }
             Some(Turn::Found(members)) => self.found(members, out),
             Some(Turn::Follow(members)) => {
-                self.history = history(&members);
+                self.log_id = log_id(&members);
                 self.founded = Some(members);
                 self.stand = Stand::Follows(Followed::default());
             }
@@ -385,7 +387,7 @@
 
     /// All have promised: the log begins with who votes, at index 1.
     fn found(&mut self, members: Members, out: &mut Vec<Output>) {
-        let state = postcard::to_stdvec(&Agreed::founded(&members)).unwrap_or_default(); // as above
+        let state = postcard::to_stdvec(&ReplicatedState::founded(&members)).unwrap_or_default(); // as above
         let voters = Voters { voters: members.values().copied().collect(), ..Voters::default() };
         let snapshot = Snapshot { index: 1, term: 1, voters, state };
         let mut memory = Memory::default();
@@ -401,7 +403,7 @@
         let Ok(voter) = Voter::new(self.settings.id, &memory, self.settings.seed) else { return };
         self.batches += 1;
         out.push(Output::Write(self.batches, changes));
-        self.history = history(&members);
+        self.log_id = log_id(&members);
         self.founded = Some(members);
         self.stand = Stand::Votes(Box::new(voter));
     }
@@ -418,13 +420,13 @@
         self.stand = Stand::Votes(Box::new(voter));
     }
 
-    fn answer(&mut self, from: String, history: u64, after: u64, out: &mut Vec<Output>) {
+    fn answer(&mut self, from: String, log_id: u64, after: u64, out: &mut Vec<Output>) {
         let Stand::Votes(voter) = &mut self.stand else { return };
         // An index of another history says nothing.
-        let after = if history == self.history { after } else { 0 };
+        let after = if log_id == self.log_id { after } else { 0 };
         let (snapshot, entries) = voter.tail(after);
         if snapshot.is_some() || !entries.is_empty() {
-            self.send(from, &Message::Agreed { history: self.history, snapshot, entries }, out);
+            self.send(from, &Message::Committed { log_id: self.log_id, snapshot, entries }, out);
         }
     }
 
@@ -433,7 +435,7 @@
         let before = followed.applied;
         if let Some(snapshot) = snapshot
             && snapshot.index > followed.applied
-            && let Ok(agreed) = postcard::from_bytes::<Agreed>(&snapshot.state)
+            && let Ok(agreed) = postcard::from_bytes::<ReplicatedState>(&snapshot.state)
         {
             *followed = Followed { agreed, applied: snapshot.index, voters: snapshot.voters };
         }
@@ -463,9 +465,9 @@
 
     /// Asks one of the voters for what follows, another one each time.
     fn ask_on(&mut self, after: u64, out: &mut Vec<Output>) {
-        let (from, history) = (self.settings.name.clone(), self.history);
+        let (from, log_id) = (self.settings.name.clone(), self.log_id);
         if let Some(name) = self.next_voter() {
-            self.send(name, &Message::Follow { from, history, after }, out);
+            self.send(name, &Message::Follow { from, log_id, after }, out);
         }
     }
 
@@ -508,7 +510,7 @@
             self.carry_out(deeds, out);
         }
         // Also those that came by a snapshot.
-        let Some(agreed) = self.agreed() else { return };
+        let Some(agreed) = self.state() else { return };
         let ended = |number: &u64| Some((*number, agreed.outcome(self.settings.client, *number)?));
         let ended: Vec<(u64, Outcome)> = self.orders.keys().filter_map(ended).collect();
         for (number, outcome) in ended {
@@ -527,7 +529,7 @@
             let name = voter.agreed.names.get(&says.to).or_else(|| self.spoke.get(&says.to));
             if let Some(name) = name.cloned() {
                 let by = self.settings.name.clone();
-                sent.push((name, Message::Vote { history: self.history, by, says }));
+                sent.push((name, Message::Vote { log_id: self.log_id, by, says }));
             }
         }
         for (name, message) in sent {
--- a/src/fleet/log/agreed.rs
+++ b/src/fleet/log/replicated_state.rs
@@ -69,7 +69,7 @@
 
 /// Everything that is agreed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Agreed {
+pub struct ReplicatedState {
     /// The names of those with a part in the vote, by number.
     pub names: BTreeMap<u64, String>,
     #[serde(rename = "cells")]
@@ -79,11 +79,11 @@
     clients: BTreeMap<u128, Client>,
 }
 
-impl Agreed {
+impl ReplicatedState {
     /// The state at a founding.
     pub(super) fn founded(members: &BTreeMap<String, u64>) -> Self {
         let names = members.iter().map(|(name, id)| (*id, name.clone())).collect();
-        Agreed { names, ..Agreed::default() }
+        ReplicatedState { names, ..ReplicatedState::default() }
     }
 
     /// Who votes or learns has changed: what the one that it is about is called, and who has left. By the entry alone, as
--- a/src/fleet/log/view.rs
+++ b/src/fleet/log/status.rs
@@ -1,10 +1,10 @@
 //! What a process says of the log.
 
-use super::founding::Disturbed;
+use super::founding::FoundingConflict;
 
 /// What part a process has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Part {
+pub enum Role {
     /// There is no log yet.
     Founding,
     /// It votes.
@@ -19,11 +19,11 @@
 
 /// How things are.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct View {
+pub struct Status {
     /// This process's part.
-    pub part: Part,
+    pub role: Role,
     /// The log's name; 0 where there is none yet.
-    pub history: u64,
+    pub log_id: u64,
     /// The leader, where one is known.
     pub leader: Option<String>,
     /// The term; 0 for one that follows.
@@ -35,15 +35,15 @@
     /// Who learns, to vote once it has caught up.
     pub learners: Vec<String>,
     /// Who votes is being changed: until that is over, a majority of those before is needed too.
-    pub changing: bool,
+    pub reconfiguring: bool,
     /// Names of voters whose processes have come back without their memory, and wait to be let in.
-    pub lost: Vec<String>,
+    pub lost_state: Vec<String>,
     /// Why there is no founding, where that can be told.
-    pub disturbed: Option<Disturbed>,
+    pub founding_conflict: Option<FoundingConflict>,
     /// Orders of this process that wait.
-    pub waiting: usize,
+    pub pending_commands: usize,
     /// Frames that were dropped: torn or foreign, later, senseless.
-    pub dropped: [u64; 3],
+    pub dropped_frames: [u64; 3],
     /// Nothing is kept any more: this process votes no longer, until it starts again.
-    pub mute: bool,
+    pub stopped: bool,
 }
--- a/src/fleet/log/storage.rs
+++ b/src/fleet/log/storage.rs
@@ -11,7 +11,7 @@
 
 /// Why what is remembered can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Unreadable {
+pub enum LoadError {
     /// The state at the log's beginning is of no form that this build knows.
     #[error("the agreed state up to {0} is of no known form")]
     Snapshot(u64),
@@ -31,14 +31,14 @@
 }
 
 impl Kept {
-    pub(super) fn of(memory: &Memory) -> Result<Self, Unreadable> {
+    pub(super) fn of(memory: &Memory) -> Result<Self, LoadError> {
         let index = memory.snapshot.index;
         let snapshot = match index {
             0 => Snapshot::default(),
-            _ => postcard::from_bytes(&memory.snapshot.bytes).map_err(|_| Unreadable::Snapshot(index))?,
+            _ => postcard::from_bytes(&memory.snapshot.bytes).map_err(|_| LoadError::Snapshot(index))?,
         };
         let entries = memory.log.iter().map(|(&index, entry)| {
-            let says: Says = postcard::from_bytes(&entry.bytes).map_err(|_| Unreadable::Entry(index))?;
+            let says: Says = postcard::from_bytes(&entry.bytes).map_err(|_| LoadError::Entry(index))?;
             Ok(Entry { term: entry.term, index, says })
         });
         let entries = entries.collect::<Result<_, _>>()?;
--- a/src/fleet/log/voter.rs
+++ b/src/fleet/log/voter.rs
@@ -3,8 +3,8 @@
 //! Nothing is said that rests on what is not durable: the crate's promises wait until their batch is. A leader's entries go
 //! out at once, as its own word for them counts only once they are durable here too.
 
-use super::agreed::{Agreed, Command, Outcome};
-use super::storage::{Kept, Unreadable};
+use super::replicated_state::{Command, Outcome, ReplicatedState};
+use super::storage::{Kept, LoadError};
 use super::wire::{Entry, Said, Says, Snapshot, Step, Voters, change};
 use crate::state::memory::{Change, Memory, Promise};
 use raft::{Config, ProgressState, RawNode, SnapshotStatus, StateRole};
@@ -48,7 +48,7 @@
     raw: RawNode<Kept>,
     seed: u64,
     ticks: u64,
-    pub(super) agreed: Agreed,
+    pub(super) agreed: ReplicatedState,
     /// The index up to which that goes.
     pub(super) applied: u64,
     waiting: VecDeque<Waiting>,
@@ -69,13 +69,13 @@
 
 impl Voter {
     /// A voter with this memory, which has a snapshot: a founding writes one.
-    pub(super) fn new(id: u64, memory: &Memory, seed: u64) -> Result<Self, Unreadable> {
+    pub(super) fn new(id: u64, memory: &Memory, seed: u64) -> Result<Self, LoadError> {
         let kept = Kept::of(memory)?;
         let Snapshot { index, ref state, .. } = *kept.snapshot();
         // A successor has nothing yet: all comes from the leader.
         let agreed = match index {
-            0 => Agreed::default(),
-            _ => postcard::from_bytes(state).map_err(|_| Unreadable::Snapshot(index))?,
+            0 => ReplicatedState::default(),
+            _ => postcard::from_bytes(state).map_err(|_| LoadError::Snapshot(index))?,
         };
         let config = Config {
             id,
@@ -91,7 +91,7 @@
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         // It fails for settings that contradict themselves, and these do not.
-        let raw = RawNode::new(&config, kept, &logger).map_err(|_| Unreadable::Snapshot(index))?;
+        let raw = RawNode::new(&config, kept, &logger).map_err(|_| LoadError::Snapshot(index))?;
         let (waiting, batch, successors, states_sent) = Default::default();
         let (seed, ticks) = (seed ^ id, 0);
         let mut voter =
--- a/src/fleet/log/wire.rs
+++ b/src/fleet/log/wire.rs
@@ -14,16 +14,16 @@
 
 /// Why a frame was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Unheard {
+pub enum FrameError {
     /// Cut short, changed on its way, or of another cluster.
     #[error("torn, or of another cluster")]
-    Torn,
+    Corrupt,
     /// From a build with a later form.
     #[error("of a later form")]
     Newer,
     /// Whole, but it says nothing that it could.
     #[error("senseless")]
-    Senseless,
+    Malformed,
 }
 
 /// What one process of a fleet says to another about the log.
@@ -34,7 +34,8 @@
     /// Between voters of one founding.
     Vote {
         /// Which founding: votes of another are not heard.
-        history: u64,
+        #[serde(rename = "history")]
+        log_id: u64,
         /// The name of who speaks: one that learns knows nobody yet.
         by: String,
         /// What is said.
@@ -53,14 +54,17 @@
         /// The name of who asks.
         from: String,
         /// Which founding it knows; 0 for none yet.
-        history: u64,
+        #[serde(rename = "history")]
+        log_id: u64,
         /// The last index that it has.
         after: u64,
     },
     /// The answer: what was agreed, from the state at an index where the log does not go back so far.
-    Agreed {
+    #[serde(rename = "Agreed")]
+    Committed {
         /// Of which founding.
-        history: u64,
+        #[serde(rename = "history")]
+        log_id: u64,
         /// The state up to an index, where the asker's is too old.
         snapshot: Option<Box<Snapshot>>,
         /// What follows, in order.
@@ -163,11 +167,11 @@
 }
 
 /// Opens a frame as it came.
-pub fn open(cluster: &str, frame: &[u8]) -> Result<Message, Unheard> {
+pub fn open(cluster: &str, frame: &[u8]) -> Result<Message, FrameError> {
     record::open(cluster, frame).map_err(|fault| match fault {
-        RecordFault::Damaged(_) => Unheard::Torn,
-        RecordFault::Newer { .. } => Unheard::Newer,
-        RecordFault::Senseless(..) => Unheard::Senseless,
+        RecordFault::Damaged(_) => FrameError::Corrupt,
+        RecordFault::Newer { .. } => FrameError::Newer,
+        RecordFault::Senseless(..) => FrameError::Malformed,
     })
 }
 
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -20,12 +20,12 @@
     [(Standing::Converged, "converged"), (Standing::Converging, "converging"), (Standing::Split, "split")];
 
 /// Every part in the log, with its name in figures.
-const PARTS: [(log::Part, &str); 5] = [
-    (log::Part::Founding, "founding"),
-    (log::Part::Voter, "voter"),
-    (log::Part::Leader, "leader"),
-    (log::Part::Learner, "learner"),
-    (log::Part::Follower, "follower"),
+const PARTS: [(log::Role, &str); 5] = [
+    (log::Role::Founding, "founding"),
+    (log::Role::Voter, "voter"),
+    (log::Role::Leader, "leader"),
+    (log::Role::Learner, "learner"),
+    (log::Role::Follower, "follower"),
 ];
 
 type Labels = Vec<(&'static str, &'static str)>;
@@ -101,17 +101,20 @@
             }
         }
         if let Some(view) = &*self.fleet.log().borrow() {
-            line("log.part", &part(view.part));
-            line("log.history", &format_args!("{:016x}", view.history));
+            line("log.part", &part(view.role));
+            line("log.history", &format_args!("{:016x}", view.log_id));
             line("log.leader", &view.leader.as_deref().unwrap_or_default());
             line("log.term", &view.term);
             line("log.applied", &view.applied);
             line("log.voters", &view.voters.join(" "));
             line("log.learners", &view.learners.join(" "));
-            line("log.changing", &u8::from(view.changing));
-            line("log.lost", &view.lost.join(" "));
-            line("log.disturbed", &view.disturbed.as_ref().map_or(String::new(), ToString::to_string));
-            line("log.mute", &u8::from(view.mute));
+            line("log.changing", &u8::from(view.reconfiguring));
+            line("log.lost", &view.lost_state.join(" "));
+            line(
+                "log.disturbed",
+                &view.founding_conflict.as_ref().map_or(String::new(), ToString::to_string),
+            );
+            line("log.mute", &u8::from(view.stopped));
         }
         line("folder_older", &figures.older.load(Relaxed));
         line("stuck_s", &figures.stuck_for().as_secs_f64());
@@ -152,24 +155,24 @@
         if let Some(view) = &*self.fleet.log().borrow() {
             for (this, name) in PARTS {
                 let help = "1 while this process has that part in the log";
-                gauge(&format!("log_{name}"), help, f64::from(u8::from(view.part == this)));
+                gauge(&format!("log_{name}"), help, f64::from(u8::from(view.role == this)));
             }
             for (name, help, value) in [
                 ("led", "1 while a leader is known", u64::from(view.leader.is_some())),
                 ("term", "The term; 0 for one that follows", view.term),
                 ("applied", "All up to this index is agreed and carried out here", view.applied),
                 ("voters", "Those that vote", view.voters.len() as u64),
-                ("changing", "1 while that is being changed", u64::from(view.changing)),
+                ("changing", "1 while that is being changed", u64::from(view.reconfiguring)),
                 (
                     "lost",
                     "Voters that have lost their memory and wait to be let in",
-                    view.lost.len() as u64,
+                    view.lost_state.len() as u64,
                 ),
-                ("mute", "1 where nothing is kept any more", u64::from(view.mute)),
+                ("mute", "1 where nothing is kept any more", u64::from(view.stopped)),
                 (
                     "unheard",
                     "Frames that were dropped as torn, foreign or later",
-                    view.dropped.iter().sum(),
+                    view.dropped_frames.iter().sum(),
                 ),
             ] {
                 gauge(&format!("log_{name}"), help, value as f64);
@@ -216,6 +219,6 @@
     STANDINGS[standing as usize].1
 }
 
-fn part(part: log::Part) -> &'static str {
+fn part(part: log::Role) -> &'static str {
     PARTS[part as usize].1
 }
--- a/tests/agreement.rs
+++ b/tests/agreement.rs
@@ -3,7 +3,7 @@
 #[path = "support/agreement.rs"]
 mod net;
 
-use gullpulley::fleet::log::{Disturbed, MAX_KEY_VALUE_BYTES, Outcome, Part, ProposeError, Put};
+use gullpulley::fleet::log::{FoundingConflict, MAX_KEY_VALUE_BYTES, Outcome, ProposeError, Put, Role};
 use net::{Net, ms, name};
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
         let told = net.given[wrong].ended.unwrap().1;
         assert!(matches!(told, Outcome::Changed(at) if at >= index), "{told:?}");
         assert!(matches!(net.given[right].ended.unwrap().1, Outcome::Done(_)));
-        assert!(net.running().all(|(_, view)| view.voters.len() == voters && view.waiting == 0));
+        assert!(net.running().all(|(_, view)| view.voters.len() == voters && view.pending_commands == 0));
         net.check_order();
     }
 }
@@ -62,7 +62,7 @@
         assert!(takes.is_some(), "{:?}", net.views());
         net.start(leader);
         let whole =
-            net.until(ms(2000), |net| net.leader().is_some() && net.view(leader).part == Part::Voter);
+            net.until(ms(2000), |net| net.leader().is_some() && net.view(leader).role == Role::Voter);
         assert!(whole.is_some(), "{:?}", net.views());
     }
     net.check_order();
@@ -81,9 +81,9 @@
     assert_ne!(net.leader(), Some(leader), "it still leads");
     net.run(ms(1000));
     let leader = net.leader().unwrap();
-    net.places[leader].log.as_mut().unwrap().disk_over();
+    net.places[leader].log.as_mut().unwrap().stop();
     assert!(ends_within(&mut net, 5, ms(5000)).is_some());
-    assert!(net.view(leader).mute);
+    assert!(net.view(leader).stopped);
     net.check_order();
 }
 
@@ -97,7 +97,7 @@
     assert!(ends_within(&mut net, 6, ms(5000)).is_some(), "the greater side goes on: {:?}", net.views());
     net.run(ms(20_000));
     assert!(net.given[lone].ended.is_none(), "the smaller side agreed on something");
-    assert!(net.view(0).part != Part::Leader && net.view(1).part != Part::Leader);
+    assert!(net.view(0).role != Role::Leader && net.view(1).role != Role::Leader);
     net.passes = Box::new(|_, _| true);
     assert!(net.until(ms(5000), Net::all_ended).is_some(), "{:?}", net.views());
     // Each hears one other voter, and is heard by one: nothing can be agreed, and nothing is.
@@ -142,9 +142,10 @@
     net.wipe(lost);
     net.start(lost);
     net.run(ms(200));
-    assert!(matches!(net.view(lost).part, Part::Founding | Part::Follower), "{:?}", net.view(lost));
-    let whole =
-        |net: &Net| net.view(lost).part == Part::Voter && net.running().all(|(_, view)| !view.changing);
+    assert!(matches!(net.view(lost).role, Role::Founding | Role::Follower), "{:?}", net.view(lost));
+    let whole = |net: &Net| {
+        net.view(lost).role == Role::Voter && net.running().all(|(_, view)| !view.reconfiguring)
+    };
     let again = net.until(ms(5000), whole);
     assert!(again.is_some(), "{:?}", net.views());
     // Another goes: three of five are left, the one that was let in among them.
@@ -156,7 +157,7 @@
     // It comes back once more on the folder that it has now, and votes at once.
     net.kill(lost);
     net.start(lost);
-    assert!(net.until(ms(2000), |net| net.view(lost).part == Part::Voter).is_some());
+    assert!(net.until(ms(2000), |net| net.view(lost).role == Role::Voter).is_some());
     assert!(net.running().all(|(_, view)| view.voters.len() == 5), "{:?}", net.views());
     net.check_order();
 }
@@ -176,8 +177,10 @@
         net.loss = 0.0;
         let whole = |net: &Net| {
             net.leader().is_some()
-                && net.running().all(|(_, view)| !view.changing && view.lost.is_empty() && view.applied > 1)
-                && net.view(lost).part != Part::Learner
+                && net
+                    .running()
+                    .all(|(_, view)| !view.reconfiguring && view.lost_state.is_empty() && view.applied > 1)
+                && net.view(lost).role != Role::Learner
         };
         assert!(net.until(ms(5000), whole).is_some(), "turn {turn}: {:?}", net.views());
     }
@@ -195,24 +198,25 @@
     let other = net.until(ms(5000), |net| net.leader().is_some_and(|leader| leader != old));
     assert!(other.is_some(), "{:?}", net.views());
     net.run(ms(2000));
-    assert_ne!(net.view(old).part, Part::Leader, "without its majority");
+    assert_ne!(net.view(old).role, Role::Leader, "without its majority");
     // One that lost its memory makes the new leader begin its log anew, behind what the old one holds.
     let lost = (0..5).find(|number| Some(*number) != net.leader() && *number != old).unwrap();
     net.kill(lost);
     net.wipe(lost);
     net.start(lost);
-    let whole =
-        |net: &Net| net.view(lost).part == Part::Voter && net.running().all(|(_, view)| !view.changing);
+    let whole = |net: &Net| {
+        net.view(lost).role == Role::Voter && net.running().all(|(_, view)| !view.reconfiguring)
+    };
     assert!(net.until(ms(5000), whole).is_some(), "{:?}", net.views());
     net.passes = Box::new(|_, _| true);
     let level = |net: &Net| {
         let most = net.running().map(|(_, view)| view.applied).max();
-        net.running().all(|(_, view)| Some(view.applied) == most && view.waiting == 0)
+        net.running().all(|(_, view)| Some(view.applied) == most && view.pending_commands == 0)
     };
     assert!(net.until(ms(5000), level).is_some(), "{:?}", net.views());
     net.kill(old);
     net.start(old);
-    assert!(net.until(ms(2000), |net| net.view(old).part == Part::Voter && level(net)).is_some());
+    assert!(net.until(ms(2000), |net| net.view(old).role == Role::Voter && level(net)).is_some());
     net.check_order();
 }
 
@@ -231,7 +235,7 @@
     let given = net.set(3, "a");
     net.run(ms(30_000));
     assert!(net.given[given].ended.is_none());
-    assert_eq!(net.view(2).lost, [name(0), name(1)]);
+    assert_eq!(net.view(2).lost_state, [name(0), name(1)]);
     assert_eq!(net.leader(), None);
 }
 
@@ -240,18 +244,21 @@
     let mut net = Net::new(3, 1, 7);
     [0, 1, 3].into_iter().for_each(|number| net.start(number));
     net.run(ms(10_000));
-    assert!(net.running().all(|(_, view)| view.part == Part::Founding), "two of three founded a log");
+    assert!(net.running().all(|(_, view)| view.role == Role::Founding), "two of three founded a log");
     [0, 1, 3].into_iter().for_each(|number| net.kill(number));
     (0..4).for_each(|number| net.start(number));
     net.run(ms(400)); // all have promised, and not said so
-    assert!(net.running().all(|(_, view)| view.history == 0));
+    assert!(net.running().all(|(_, view)| view.log_id == 0));
     net.kill(2);
     net.wipe(2);
     net.start(2);
     net.run(ms(5000));
     for (number, view) in net.running().take(3) {
-        assert_eq!(view.history, 0, "{number}: there may be a vote that was forgotten");
-        assert!(matches!(view.disturbed, Some(Disturbed::OtherMembers(_))), "{number}: {view:?}");
+        assert_eq!(view.log_id, 0, "{number}: there may be a vote that was forgotten");
+        assert!(
+            matches!(view.founding_conflict, Some(FoundingConflict::OtherMembers(_))),
+            "{number}: {view:?}"
+        );
     }
     // The remedy that it names.
     for number in 0..3 {
@@ -259,7 +266,7 @@
         net.wipe(number);
         net.start(number);
     }
-    assert!(net.until(ms(3000), |net| net.running().all(|(_, view)| view.history > 0)).is_some());
+    assert!(net.until(ms(3000), |net| net.running().all(|(_, view)| view.log_id > 0)).is_some());
 }
 
 #[test]
@@ -268,8 +275,8 @@
     (0..3).for_each(|number| net.start(number));
     net.places[2].disk_stalled_until = ms(4000);
     net.run(ms(3900));
-    assert!(net.running().all(|(_, view)| view.history == 0), "{:?}", net.views());
-    assert!(net.until(ms(2000), |net| net.running().all(|(_, view)| view.history > 0)).is_some());
+    assert!(net.running().all(|(_, view)| view.log_id == 0), "{:?}", net.views());
+    assert!(net.until(ms(2000), |net| net.running().all(|(_, view)| view.log_id > 0)).is_some());
 }
 
 #[test]
@@ -279,16 +286,16 @@
     net.kill(lost);
     net.wipe(lost);
     net.start(lost);
-    let asked = net.until(ms(2000), |net| net.view(lost).part == Part::Follower);
+    let asked = net.until(ms(2000), |net| net.view(lost).role == Role::Follower);
     assert!(asked.is_some(), "{:?}", net.views());
     net.passes = Box::new(move |_, to| to != lost);
     net.run(ms(4000));
     let leader = net.view(net.leader().unwrap());
-    assert_eq!((leader.learners, leader.changing), (vec![name(lost)], false));
+    assert_eq!((leader.learners, leader.reconfiguring), (vec![name(lost)], false));
     net.passes = Box::new(|_, _| true);
-    let level = |net: &Net| net.running().all(|(_, view)| view.learners.is_empty() && !view.changing);
+    let level = |net: &Net| net.running().all(|(_, view)| view.learners.is_empty() && !view.reconfiguring);
     assert!(
-        net.until(ms(3000), level).is_some() && net.view(lost).part == Part::Voter,
+        net.until(ms(3000), level).is_some() && net.view(lost).role == Role::Voter,
         "{:?}",
         net.views()
     );
@@ -300,17 +307,17 @@
     let mut out = Vec::new();
     let (now, log) = (net.now, net.places[0].log.as_mut().unwrap());
     for frame in [&b""[..], b"abcd", b"no frame at all, of any cluster"] {
-        log.hear(now, frame, &mut out);
+        log.receive(now, frame, &mut out);
     }
-    assert_eq!(log.view().dropped, [3, 0, 0]);
+    assert_eq!(log.status().dropped_frames, [3, 0, 0]);
     let sealed = |content: &[u8]| {
         let sum = crc32fast::hash(&[&b"made\0"[..], content].concat());
         [&sum.to_le_bytes(), content].concat()
     };
-    log.hear(now, &sealed(&[9, 0]), &mut out);
-    log.hear(now, &sealed(&[1, 200]), &mut out);
-    log.hear(now, &sealed(&[1]), &mut out);
-    assert_eq!(log.view().dropped, [3, 1, 2]);
+    log.receive(now, &sealed(&[9, 0]), &mut out);
+    log.receive(now, &sealed(&[1, 200]), &mut out);
+    log.receive(now, &sealed(&[1]), &mut out);
+    assert_eq!(log.status().dropped_frames, [3, 1, 2]);
     assert!(out.is_empty());
 }
 
--- a/tests/support/agreement.rs
+++ b/tests/support/agreement.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code)] // each test uses a part
 
-use gullpulley::fleet::log::{Log, Outcome, Output, Part, ProposeError, Put, Settings, View};
+use gullpulley::fleet::log::{Log, Outcome, Output, ProposeError, Put, Role, Settings, Status};
 use gullpulley::state::memory::{Change, Identity, Memory};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -103,7 +103,7 @@
         let mut net = Net::new(voters, others, seed);
         (0..voters + others).for_each(|number| net.start(number));
         let agreed =
-            net.until(ms(5000), |net| net.leader().is_some() && net.running().all(|(_, v)| v.history > 0));
+            net.until(ms(5000), |net| net.leader().is_some() && net.running().all(|(_, v)| v.log_id > 0));
         assert!(agreed.is_some(), "no log 5 s after the start: {:?}", net.views());
         net
     }
@@ -193,7 +193,7 @@
             } else if flight <= next {
                 let Some(Reverse((_, _, to, frame))) = self.flying.pop() else { return };
                 if let Some(log) = &mut self.places[to].log {
-                    log.hear(now, &frame, &mut out);
+                    log.receive(now, &frame, &mut out);
                 }
                 to
             } else {
@@ -218,23 +218,23 @@
         None
     }
 
-    pub fn running(&self) -> impl Iterator<Item = (usize, View)> {
+    pub fn running(&self) -> impl Iterator<Item = (usize, Status)> {
         let logs = self.places.iter().enumerate();
-        logs.filter_map(|(number, place)| Some((number, place.log.as_ref()?.view())))
+        logs.filter_map(|(number, place)| Some((number, place.log.as_ref()?.status())))
     }
 
-    pub fn views(&self) -> BTreeMap<usize, View> {
+    pub fn views(&self) -> BTreeMap<usize, Status> {
         self.running().collect()
     }
 
-    pub fn view(&self, number: usize) -> View {
-        self.places[number].log.as_ref().unwrap().view()
+    pub fn view(&self, number: usize) -> Status {
+        self.places[number].log.as_ref().unwrap().status()
     }
 
     /// Who leads, and is known to more than half of the voters to do so.
     pub fn leader(&self) -> Option<usize> {
         let views = self.views();
-        let leads = |(number, view): (&usize, &View)| (view.part == Part::Leader).then_some(*number);
+        let leads = |(number, view): (&usize, &Status)| (view.role == Role::Leader).then_some(*number);
         views.iter().filter_map(leads).find(|leader| {
             let followed = views.values().filter(|view| view.leader.as_deref() == Some(&name(*leader)));
             followed.count() * 2 > self.voters
@@ -249,7 +249,7 @@
     /// What a cell holds at each that runs.
     pub fn cells(&self, cell: &str) -> Vec<Option<Vec<u8>>> {
         let logs = self.places.iter().filter_map(|place| place.log.as_ref());
-        logs.map(|log| log.agreed().and_then(|agreed| agreed.get(cell)).map(|value| value.bytes.clone()))
+        logs.map(|log| log.state().and_then(|agreed| agreed.get(cell)).map(|value| value.bytes.clone()))
             .collect()
     }
 
@@ -308,7 +308,7 @@
         self.tell_view(number);
         // Whoever is at one index has one state.
         let Some(log) = &self.places[number].log else { return };
-        let (index, Some(agreed)) = (log.view().applied, log.agreed()) else { return };
+        let (index, Some(agreed)) = (log.status().applied, log.state()) else { return };
         if index > 0 {
             let state = crc32fast::hash(&postcard::to_stdvec(agreed).unwrap());
             let known = *self.states.entry(index).or_insert(state);
@@ -324,26 +324,26 @@
     /// How a process sees the log, where that has changed in more than how far it is.
     fn tell_view(&mut self, number: usize) {
         let Some(log) = &self.places[number].log else { return };
-        let view = log.view();
-        let mut says = format!("{:?}", view.part);
+        let view = log.status();
+        let mut says = format!("{:?}", view.role);
         match &view.leader {
-            Some(leader) if view.part == Part::Leader => {
+            Some(leader) if view.role == Role::Leader => {
                 says += &format!(" ({leader}) in term {}", view.term)
             }
             Some(leader) => says += &format!(", {leader} leads in term {}", view.term),
-            None if matches!(view.part, Part::Voter | Part::Learner) => says += ", nobody leads",
+            None if matches!(view.role, Role::Voter | Role::Learner) => says += ", nobody leads",
             None => {}
         }
-        if view.changing {
+        if view.reconfiguring {
             says += "; voters are being changed";
         }
-        if !view.lost.is_empty() {
-            says += &format!("; without their memory: {}", view.lost.join(" "));
+        if !view.lost_state.is_empty() {
+            says += &format!("; without their memory: {}", view.lost_state.join(" "));
         }
-        if let Some(disturbed) = &view.disturbed {
+        if let Some(disturbed) = &view.founding_conflict {
             says += &format!("; {disturbed}");
         }
-        if view.mute {
+        if view.stopped {
             says += "; mute";
         }
         if self.told.insert(number, says.clone()).as_ref() != Some(&says) {
