--- a/src/fleet/log/replicated_state.rs
+++ b/src/fleet/log/replicated_state.rs
@@ -1,7 +1,7 @@
 //! The agreed state: cells that are changed by orders, each applied once however often it comes, in one order for all.
 
 use super::wire::Step;
-use crate::fleet::seen::{OVERTAKEN, Seen};
+use crate::fleet::sequence_window::{SequenceWindow, WINDOW};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -60,7 +60,7 @@
 /// What was carried out for a client.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Client {
-    seen: Seen,
+    seen: SequenceWindow,
     /// The index of its last order.
     at: u64,
     /// What became of its latest, by number: for those that hear of it by a snapshot only.
@@ -124,7 +124,7 @@
         let outcome = self.put(index, put);
         if let Some(client) = self.clients.get_mut(&client) {
             client.outcomes.insert(number, outcome);
-            while client.outcomes.len() > OVERTAKEN as usize {
+            while client.outcomes.len() > WINDOW as usize {
                 client.outcomes.pop_first();
             }
         }
@@ -133,12 +133,12 @@
 
     fn is_new(&mut self, index: u64, id: u128, number: u64) -> bool {
         // Of a client that is not known only its first ones: the others may have been carried out before it was forgotten.
-        if number == 0 || !self.clients.contains_key(&id) && number > OVERTAKEN {
+        if number == 0 || !self.clients.contains_key(&id) && number > WINDOW {
             return false;
         }
         let client = self.clients.entry(id).or_default();
         client.at = index;
-        let new = client.seen.take(number);
+        let new = client.seen.insert(number);
         if self.clients.len() > CLIENTS_MOST {
             let quiet = self.clients.iter().min_by_key(|(_, client)| client.at).map(|(id, _)| *id);
             quiet.and_then(|quiet| self.clients.remove(&quiet));
--- a/src/fleet/members/datagram.rs
+++ b/src/fleet/members/datagram.rs
@@ -10,7 +10,7 @@
 //! | 8 | number of the datagram in that life, from 1 |
 //! | rest | what foca says |
 
-use crate::fleet::seen::Seen;
+use crate::fleet::sequence_window::SequenceWindow;
 use crate::state::record::sum;
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -58,7 +58,7 @@
 
 /// Which datagrams of a life have come, and when the last did.
 struct Life {
-    seen: Seen,
+    seen: SequenceWindow,
     heard: Duration,
 }
 
@@ -105,13 +105,13 @@
         }
         match self.lives.entry(life) {
             Entry::Vacant(entry) => {
-                entry.insert(Life { seen: Seen::first(number), heard: now });
+                entry.insert(Life { seen: SequenceWindow::first(number), heard: now });
                 true
             }
             Entry::Occupied(entry) => {
                 let life = entry.into_mut();
                 life.heard = now;
-                life.seen.take(number)
+                life.seen.insert(number)
             }
         }
     }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -35,4 +35,4 @@
 pub mod host;
 pub mod log;
 pub mod members;
-mod seen;
+mod sequence_window;
--- a/src/fleet/seen.rs
+++ b/src/fleet/sequence_window.rs
@@ -3,24 +3,24 @@
 use serde::{Deserialize, Serialize};
 
 /// Numbers that may overtake each other: one further behind the newest counts as come.
-pub(super) const OVERTAKEN: u64 = 64;
+pub(super) const WINDOW: u64 = 64;
 
 /// The newest, and a bit for each of those before it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Seen {
+pub(super) struct SequenceWindow {
     newest: u64,
     before: u64,
 }
 
-impl Seen {
+impl SequenceWindow {
     /// Only this one.
     pub(super) fn first(number: u64) -> Self {
-        Seen { newest: number, before: 0 }
+        SequenceWindow { newest: number, before: 0 }
     }
 
     /// Takes a number; whether it had not come before.
-    pub(super) fn take(&mut self, number: u64) -> bool {
-        let shift = |bits: u64, by: u64| if by < OVERTAKEN { bits << by } else { 0 };
+    pub(super) fn insert(&mut self, number: u64) -> bool {
+        let shift = |bits: u64, by: u64| if by < WINDOW { bits << by } else { 0 };
         if number > self.newest {
             let ahead = number - self.newest;
             self.before = shift(self.before, ahead) | shift(1, ahead - 1);
@@ -28,7 +28,7 @@
             return true;
         }
         let behind = self.newest - number;
-        let bit = if (1..=OVERTAKEN).contains(&behind) { 1 << (behind - 1) } else { return false };
+        let bit = if (1..=WINDOW).contains(&behind) { 1 << (behind - 1) } else { return false };
         let new = self.before & bit == 0;
         self.before |= bit;
         new
