--- a/src/fleet/log/agreed.rs
+++ b/src/fleet/log/replicated_state.rs
@@ -1,16 +1,16 @@
 //! The agreed state: cells that are changed by orders, each applied once however often it comes, in one order for all.
 
 use super::wire::Step;
-use crate::fleet::seen::{OVERTAKEN, Seen};
+use crate::fleet::sequence_window::{SequenceWindow, WINDOW};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Cells there may be.
-pub const CELLS_MOST: usize = 10_000;
+pub const MAX_KEYS: usize = 10_000;
 /// Bytes of all cells together: the whole state goes to others in one frame.
-pub const STATE_MOST: usize = 8 << 20;
+pub const MAX_STATE_BYTES: usize = 8 << 20;
 /// Bytes of a cell's name and content together.
-pub const CELL_MOST: usize = 64 << 10;
+pub const MAX_KEY_VALUE_BYTES: usize = 64 << 10;
 /// Clients that are remembered: beyond them the one that has ordered nothing for longest is forgotten.
 const CLIENTS_MOST: usize = 4096;
 
@@ -18,7 +18,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Put {
     /// The cell's name.
-    pub cell: String,
+    #[serde(rename = "cell")]
+    pub key: String,
     /// What it is to hold; none to remove it.
     pub bytes: Option<Vec<u8>>,
     /// Only if its last change was at this index, 0 for a cell that is not there; none for in any case.
@@ -27,7 +28,7 @@
 
 /// An order: it is carried out once, however often it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct Command {
     /// Who orders: drawn at each start of a process.
     pub client: u128,
     /// The orders of a client are numbered from 1.
@@ -49,7 +50,7 @@
 
 /// A cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Cell {
+pub struct Value {
     /// The index of its last change.
     pub index: u64,
     /// What it holds.
@@ -59,7 +60,7 @@
 /// What was carried out for a client.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Client {
-    seen: Seen,
+    seen: SequenceWindow,
     /// The index of its last order.
     at: u64,
     /// What became of its latest, by number: for those that hear of it by a snapshot only.
@@ -68,20 +69,21 @@
 
 /// Everything that is agreed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Agreed {
+pub struct ReplicatedState {
     /// The names of those with a part in the vote, by number.
     pub names: BTreeMap<u64, String>,
-    cells: BTreeMap<String, Cell>,
+    #[serde(rename = "cells")]
+    values: BTreeMap<String, Value>,
     /// Bytes of all cells.
     size: usize,
     clients: BTreeMap<u128, Client>,
 }
 
-impl Agreed {
+impl ReplicatedState {
     /// The state at a founding.
     pub(super) fn founded(members: &BTreeMap<String, u64>) -> Self {
         let names = members.iter().map(|(name, id)| (*id, name.clone())).collect();
-        Agreed { names, ..Agreed::default() }
+        ReplicatedState { names, ..ReplicatedState::default() }
     }
 
     /// Who votes or learns has changed: what the one that it is about is called, and who has left. By the entry alone, as
@@ -98,14 +100,14 @@
     }
 
     /// What a cell holds, and since when.
-    pub fn cell(&self, name: &str) -> Option<&Cell> {
-        self.cells.get(name)
+    pub fn get(&self, name: &str) -> Option<&Value> {
+        self.values.get(name)
     }
 
     /// All cells whose names begin so, by name.
-    pub fn cells<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Cell)> {
-        let from = self.cells.range(prefix.to_owned()..);
-        from.take_while(move |(name, _)| name.starts_with(prefix)).map(|(name, cell)| (name.as_str(), cell))
+    pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Value)> {
+        let from = self.values.range(prefix.to_owned()..);
+        from.take_while(move |(key, _)| key.starts_with(prefix)).map(|(key, value)| (key.as_str(), value))
     }
 
     /// What became of a client's order, where it is still known.
@@ -114,15 +116,15 @@
     }
 
     /// Carries out an order; none where it has been before, or is too old to tell.
-    pub(super) fn carry_out(&mut self, index: u64, order: Order) -> Option<Outcome> {
-        let Order { client, number, put } = order;
+    pub(super) fn carry_out(&mut self, index: u64, order: Command) -> Option<Outcome> {
+        let Command { client, number, put } = order;
         if !self.is_new(index, client, number) {
             return None;
         }
         let outcome = self.put(index, put);
         if let Some(client) = self.clients.get_mut(&client) {
             client.outcomes.insert(number, outcome);
-            while client.outcomes.len() > OVERTAKEN as usize {
+            while client.outcomes.len() > WINDOW as usize {
                 client.outcomes.pop_first();
             }
         }
@@ -131,12 +133,12 @@
 
     fn is_new(&mut self, index: u64, id: u128, number: u64) -> bool {
         // Of a client that is not known only its first ones: the others may have been carried out before it was forgotten.
-        if number == 0 || !self.clients.contains_key(&id) && number > OVERTAKEN {
+        if number == 0 || !self.clients.contains_key(&id) && number > WINDOW {
             return false;
         }
         let client = self.clients.entry(id).or_default();
         client.at = index;
-        let new = client.seen.take(number);
+        let new = client.seen.insert(number);
         if self.clients.len() > CLIENTS_MOST {
             let quiet = self.clients.iter().min_by_key(|(_, client)| client.at).map(|(id, _)| *id);
             quiet.and_then(|quiet| self.clients.remove(&quiet));
@@ -145,21 +147,22 @@
     }
 
     fn put(&mut self, index: u64, put: Put) -> Outcome {
-        let Put { cell, bytes, expected } = put;
-        let now = self.cells.get(&cell).map_or(0, |cell| cell.index);
+        let Put { key, bytes, expected } = put;
+        let now = self.values.get(&key).map_or(0, |value| value.index);
         if expected.is_some_and(|expected| expected != now) {
             return Outcome::Changed(now);
         }
-        let before = self.cells.get(&cell).map_or(0, |known| cell.len() + known.bytes.len());
-        let size = bytes.as_ref().map_or(0, |bytes| cell.len() + bytes.len());
-        let fits = now > 0 || self.cells.len() < CELLS_MOST;
-        if size > 0 && (!fits || size > CELL_MOST || self.size - before + size > STATE_MOST) {
+        let before = self.values.get(&key).map_or(0, |known| key.len() + known.bytes.len());
+        let size = bytes.as_ref().map_or(0, |bytes| key.len() + bytes.len());
+        let fits = now > 0 || self.values.len() < MAX_KEYS;
+        if size > 0 && (!fits || size > MAX_KEY_VALUE_BYTES || self.size - before + size > MAX_STATE_BYTES)
+        {
             return Outcome::TooMuch;
         }
         self.size = self.size - before + size;
         match bytes {
-            None => drop(self.cells.remove(&cell)),
-            Some(bytes) => drop(self.cells.insert(cell, Cell { index, bytes })),
+            None => drop(self.values.remove(&key)),
+            Some(bytes) => drop(self.values.insert(key, Value { index, bytes })),
         }
         Outcome::Done(index)
     }
--- a/src/fleet/log/wire.rs
+++ b/src/fleet/log/wire.rs
@@ -10,20 +10,20 @@
 use thiserror::Error;
 
 /// The longest frame, in bytes. A snapshot is the longest message.
-pub const FRAME_MOST: usize = 16 << 20;
+pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
 /// Why a frame was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Unheard {
+pub enum FrameError {
     /// Cut short, changed on its way, or of another cluster.
     #[error("torn, or of another cluster")]
-    Torn,
+    Corrupt,
     /// From a build with a later form.
     #[error("of a later form")]
     Newer,
     /// Whole, but it says nothing that it could.
     #[error("senseless")]
-    Senseless,
+    Malformed,
 }
 
 /// What one process of a fleet says to another about the log.
@@ -34,16 +34,18 @@
     /// Between voters of one founding.
     Vote {
         /// Which founding: votes of another are not heard.
-        history: u64,
+        #[serde(rename = "history")]
+        log_id: u64,
         /// The name of who speaks: one that learns knows nobody yet.
         by: String,
         /// What is said.
         says: Said,
     },
     /// An order on its way to the leader.
-    Order {
+    #[serde(rename = "Order")]
+    Command {
         /// What is to be done.
-        order: super::Order,
+        order: super::Command,
         /// A voter has passed it on: it goes no further than the next one.
         passed: bool,
     },
@@ -52,14 +54,17 @@
         /// The name of who asks.
         from: String,
         /// Which founding it knows; 0 for none yet.
-        history: u64,
+        #[serde(rename = "history")]
+        log_id: u64,
         /// The last index that it has.
         after: u64,
     },
     /// The answer: what was agreed, from the state at an index where the log does not go back so far.
-    Agreed {
+    #[serde(rename = "Agreed")]
+    Committed {
         /// Of which founding.
-        history: u64,
+        #[serde(rename = "history")]
+        log_id: u64,
         /// The state up to an index, where the asker's is too old.
         snapshot: Option<Box<Snapshot>>,
         /// What follows, in order.
@@ -111,7 +116,8 @@
     /// Nothing: a leader begins its term so.
     Nothing,
     /// An order, encoded.
-    Order(Vec<u8>),
+    #[serde(rename = "Order")]
+    Command(Vec<u8>),
     /// Who votes, changed; none to leave the joint rule of two sets.
     Voters(Vec<Step>, Vec<u8>),
 }
@@ -161,11 +167,11 @@
 }
 
 /// Opens a frame as it came.
-pub fn open(cluster: &str, frame: &[u8]) -> Result<Message, Unheard> {
+pub fn open(cluster: &str, frame: &[u8]) -> Result<Message, FrameError> {
     record::open(cluster, frame).map_err(|fault| match fault {
-        RecordFault::Damaged(_) => Unheard::Torn,
-        RecordFault::Newer { .. } => Unheard::Newer,
-        RecordFault::Senseless(..) => Unheard::Senseless,
+        RecordFault::Damaged(_) => FrameError::Corrupt,
+        RecordFault::Newer { .. } => FrameError::Newer,
+        RecordFault::Senseless(..) => FrameError::Malformed,
     })
 }
 
@@ -239,7 +245,7 @@
         let (term, index) = (entry.term, entry.index);
         let says = match entry.get_entry_type() {
             EntryType::EntryNormal if entry.data.is_empty() => Says::Nothing,
-            EntryType::EntryNormal => Says::Order(entry.data.to_vec()),
+            EntryType::EntryNormal => Says::Command(entry.data.to_vec()),
             EntryType::EntryConfChangeV2 => {
                 // Made by this process a moment ago: the crate keeps it in its own form.
                 let change = <ConfChangeV2 as protobuf::Message>::parse_from_bytes(&entry.data).ok()?;
@@ -259,7 +265,7 @@
         let mut entry = eraftpb::Entry { term: self.term, index: self.index, ..eraftpb::Entry::default() };
         match self.says {
             Says::Nothing => {}
-            Says::Order(bytes) => entry.data = bytes.into(),
+            Says::Command(bytes) => entry.data = bytes.into(),
             Says::Voters(steps, context) => {
                 entry.set_entry_type(EntryType::EntryConfChangeV2);
                 let change = change(&steps);
