--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -1,9 +1,9 @@
 //! The operators' door: readiness, figures, and taking endpoints out and back. One call to a connection.
 
-use super::bans::{Bans, BansError, Order, Standing, Version};
 use super::counters::Counters;
 use super::guard::Guard;
 use super::inbound::Inbound;
+use super::manual_ejections::{ManualEjectionError, ManualEjectionStore, ManualEjections, Order, Version};
 use super::message::{Inbox, Input};
 use gullpulley::config::DOOR_MOST;
 use gullpulley::{BalancerStats, TcpConnection};
@@ -43,7 +43,7 @@
 
 /// What the door needs of the rest of the sidecar.
 pub struct Door {
-    bans: Bans,
+    ejections: ManualEjectionStore,
     counters: Rc<Counters>,
     inbound: Rc<Inbound>,
     inbox: Inbox,
@@ -105,9 +105,14 @@
 
 impl Door {
     /// A door onto these.
-    pub fn new(bans: Bans, counters: Rc<Counters>, inbound: Rc<Inbound>, inbox: Inbox) -> Rc<Self> {
+    pub fn new(
+        ejections: ManualEjectionStore,
+        counters: Rc<Counters>,
+        inbound: Rc<Inbound>,
+        inbox: Inbox,
+    ) -> Rc<Self> {
         let (ordering, callers) = Default::default();
-        Rc::new(Door { bans, counters, inbound, inbox, ordering, callers })
+        Rc::new(Door { ejections, counters, inbound, inbox, ordering, callers })
     }
 
     /// Takes calls for as long as the process lives.
@@ -130,12 +135,12 @@
 
     /// Has the orders in force as the file says them, where they are not yet; how far that came.
     pub async fn look(&self, followed: Followed) -> Followed {
-        let version = self.bans.version();
+        let version = self.ejections.version();
         if followed == Followed::InForce(version) {
             return followed;
         }
         let _turn = self.ordering.lock().await;
-        match self.bans.read() {
+        match self.ejections.read() {
             Ok(standing) => {
                 self.enforce(standing).await;
                 Followed::InForce(version)
@@ -242,14 +247,14 @@
         if self.ask(|to| Input::Known(uid.to_owned(), to)).await != Some(true) {
             return text(StatusCode::NOT_FOUND, "no endpoint has this id\n");
         }
-        let (bans, kept) = (self.bans.clone(), uid.to_owned());
+        let (ejections, kept) = (self.ejections.clone(), uid.to_owned());
         // A slow disk must not hold up requests.
-        match spawn_blocking(move || bans.keep(&kept, order)).await {
+        match spawn_blocking(move || ejections.keep(&kept, order)).await {
             Ok(Ok(standing)) => {
                 self.enforce(standing).await;
                 text(StatusCode::OK, if order == Order::Suspend { "suspended\n" } else { "in use\n" })
             }
-            Ok(Err(BansError::NotDurable(standing, problem))) => {
+            Ok(Err(ManualEjectionError::NotDurable(standing, problem))) => {
                 error!(endpoint = uid, "operators: {uid}: in force, and not durable: {problem}");
                 self.enforce(standing).await;
                 text(StatusCode::INTERNAL_SERVER_ERROR, "this is in force, and a power cut may lose it\n")
@@ -263,7 +268,7 @@
     }
 
     /// Puts a standing in force.
-    async fn enforce(&self, standing: Standing) {
+    async fn enforce(&self, standing: ManualEjections) {
         let _ = self.ask(|done| Input::Standing(standing, done)).await; // fails only while the process ends
     }
 
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -2,12 +2,12 @@
 //! actions. It decides nothing, but keeps what must hold whatever is decided: one final answer a
 //! request, no attempt beyond the limit or the deadline, nothing sent for what is finished.
 
-use super::bans::Standing;
 use super::clock::Clock;
 use super::counters::Counters;
 use super::discovery::{Call, Discovery};
 use super::list_translator::News;
 use super::log_text::{log_leaving, outcome_name};
+use super::manual_ejections::ManualEjections;
 use super::message::{Answer, Arrival, Content, Inbox, Input};
 use super::open::{Open, Try};
 use super::outbound::{Dispatch, Ended, Outbound};
@@ -60,7 +60,7 @@
     dropped: u64,
     summary_at: Instant,
     /// What the operators have said of endpoints.
-    standing: Standing,
+    standing: ManualEjections,
     around: Around,
 }
 
@@ -78,7 +78,7 @@
             unusual: HashMap::new(),
             dropped: 0,
             summary_at: Instant::now() + SUMMARY,
-            standing: Standing::default(),
+            standing: ManualEjections::default(),
             around,
         }
     }
@@ -282,7 +282,7 @@
     }
 
     /// Tells the module what the operators have changed since the standing before.
-    fn follow(&mut self, standing: Standing) {
+    fn follow(&mut self, standing: ManualEjections) {
         let before = std::mem::replace(&mut self.standing, standing.clone());
         for uid in standing.suspended.difference(&before.suspended) {
             info!(endpoint = uid, "operators: {uid} is suspended");
--- a/src/net/bans.rs
+++ b/src/net/manual_ejections.rs
@@ -17,7 +17,7 @@
 
 /// What the operators have said of endpoints, by their uid.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Standing {
+pub struct ManualEjections {
     /// Taken out.
     #[serde(default)]
     pub suspended: BTreeSet<String>,
@@ -27,7 +27,7 @@
     pub resumed: BTreeMap<String, u64>,
 }
 
-impl Standing {
+impl ManualEjections {
     /// Takes an order.
     fn take(&mut self, uid: &str, order: Order) {
         match order {
@@ -71,13 +71,13 @@
 
 /// Why the standing could not be read or kept.
 #[derive(Debug, Error)]
-pub enum BansError {
+pub enum ManualEjectionError {
     /// The file system refused.
     #[error("{0}")]
     Io(#[from] io::Error),
     /// The order is in force, and a power cut may lose it.
     #[error("in force, and not yet durable: {1}")]
-    NotDurable(Standing, io::Error),
+    NotDurable(ManualEjections, io::Error),
     /// The file holds something else.
     #[error("not a list of suspended endpoints: {0}")]
     Content(#[from] serde_json::Error),
@@ -87,31 +87,31 @@
 pub type Version = (u64, SystemTime);
 
 /// A sidecar's name as a part of a file's.
-pub fn plain(name: &str) -> String {
+pub fn file_name_part(name: &str) -> String {
     name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '_' }).collect()
 }
 
 /// The file with the standing.
 #[derive(Clone, Debug)]
-pub struct Bans {
+pub struct ManualEjectionStore {
     file: PathBuf,
     lock: PathBuf,
     new: PathBuf,
 }
 
-impl Bans {
+impl ManualEjectionStore {
     /// The file of the sidecar of this name in a directory.
     pub fn new(directory: &Path, name: &str) -> Self {
-        let stem = format!("suspended-{}", plain(name));
+        let stem = format!("suspended-{}", file_name_part(name));
         let file = |ending: &str| directory.join(format!("{stem}.{ending}"));
-        Bans { file: file("json"), lock: file("lock"), new: file("new") }
+        ManualEjectionStore { file: file("json"), lock: file("lock"), new: file("new") }
     }
 
     /// What is kept; nothing where there is no file yet.
-    pub fn read(&self) -> Result<Standing, BansError> {
+    pub fn read(&self) -> Result<ManualEjections, ManualEjectionError> {
         match fs::read(&self.file) {
             Ok(text) => Ok(serde_json::from_slice(&text)?),
-            Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(Standing::default()),
+            Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(ManualEjections::default()),
             Err(e) => Err(e.into()),
         }
     }
@@ -124,7 +124,7 @@
     }
 
     /// Keeps an order, for good once this returns, and gives the standing that it leaves.
-    pub fn keep(&self, uid: &str, order: Order) -> Result<Standing, BansError> {
+    pub fn keep(&self, uid: &str, order: Order) -> Result<ManualEjections, ManualEjectionError> {
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(&self.lock)?;
         lock.lock()?; // let go when the file is closed
         // What can't be read is lost already, and has been logged: it must not stand in the way of orders.
@@ -138,7 +138,7 @@
         let synced = self.file.parent().map_or(Ok(()), |directory| File::open(directory)?.sync_all());
         match synced {
             Ok(()) => Ok(standing),
-            Err(problem) => Err(BansError::NotDurable(standing, problem)),
+            Err(problem) => Err(ManualEjectionError::NotDurable(standing, problem)),
         }
     }
 }
--- a/src/net/message.rs
+++ b/src/net/message.rs
@@ -1,7 +1,7 @@
 //! What the parts on the sockets tell the driver, and a request and its answer as they pass between them.
 
-use super::bans::Standing;
 use super::list_translator::News;
+use super::manual_ejections::ManualEjections;
 use super::outbound::{Ended, Passing, set_time_left};
 use super::passing::{Payload, Upload};
 use super::progress::Progress;
@@ -37,7 +37,7 @@
     /// The operators ask whether anybody has this uid.
     Known(String, oneshot::Sender<bool>),
     /// What the operators have said of endpoints, as it stands now; confirmed once it is in force.
-    Standing(Standing, oneshot::Sender<()>),
+    Standing(ManualEjections, oneshot::Sender<()>),
     /// So many processes are this sidecar together.
     Shared(usize),
     /// So many balancers share the work.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -2,7 +2,7 @@
 //! plain types up, each knowing only what stands before it:
 //!
 //! `guard`, `clock`, `start_times`, `list_translator`, `budget`, `keeping`, `discovery_health`, `discovery_call`,
-//! `peers`, `counters`, `bans`, `overlap`: tasks, time, lists in the policy's terms, sockets held, what is kept, what
+//! `peers`, `counters`, `manual_ejections`, `overlap`: tasks, time, lists in the policy's terms, sockets held, what is kept, what
 //! comes of discovery, calls at it, the fleet, counts, orders, other processes of this sidecar;
 //! `progress`, `passing`: how far an attempt is, bodies that pass through;
 //! `outbound`, `discovery`: connections to endpoints and to discovery;
@@ -10,7 +10,6 @@
 //! `phase`, `stream`, `request`, `turn`, `reply`, `inbound`: how far this process is, clients' words, connections and answers;
 //! `control`: the operators' door.
 
-mod bans;
 mod budget;
 mod clock;
 mod control;
@@ -24,6 +23,7 @@
 mod keeping;
 mod list_translator;
 mod log_text;
+mod manual_ejections;
 mod message;
 mod open;
 mod outbound;
@@ -39,7 +39,6 @@
 mod turn;
 
 use crate::logging::LogHandle;
-use bans::{Bans, Standing};
 use budget::Budget;
 use clock::Clock;
 use control::{Door, Followed};
@@ -53,6 +52,7 @@
 use gullpulley::{Balancer, is_local};
 use inbound::Inbound;
 use keeping::Keeping;
+use manual_ejections::{ManualEjectionStore, ManualEjections};
 use message::{Inbox, Input};
 use outbound::Outbound;
 use overlap::Overlap;
@@ -166,10 +166,10 @@
     let discovery = Discovery::new(discovery, &settings, names, seed, health, clock, move |said| {
         let _ = news.send(Input::List(said)); // fails only while the process ends
     });
-    let bans = Bans::new(&std::env::temp_dir(), &name);
+    let ejections = ManualEjectionStore::new(&std::env::temp_dir(), &name);
     if control.is_some() {
         // Before the first list, so before the first send.
-        let _ = inbox.send(Input::Standing(standing(&bans), oneshot::channel().0));
+        let _ = inbox.send(Input::Standing(standing(&ejections), oneshot::channel().0));
     }
     let sharing = control.and_then(|_| join(&name)).map(|overlap| Sharing {
         overlap,
@@ -236,7 +236,7 @@
     };
     if let Some((control, door)) = door {
         info!(sidecar = name, %control, "the operators' door is open");
-        let behind = Door::new(bans, counters, inbound.clone(), inbox);
+        let behind = Door::new(ejections, counters, inbound.clone(), inbox);
         // Orders given to an older process since this one began hold from the first client on.
         let followed = behind.look(Followed::InForce(None)).await;
         spawn_local(behind.clone().follow(followed));
@@ -318,10 +318,10 @@
 }
 
 /// What the operators had said of endpoints before this process began.
-fn standing(bans: &Bans) -> Standing {
-    bans.read().unwrap_or_else(|problem| {
+fn standing(ejections: &ManualEjectionStore) -> ManualEjections {
+    ejections.read().unwrap_or_else(|problem| {
         error!("suspended endpoints: {problem}; none is taken out");
-        Standing::default()
+        ManualEjections::default()
     })
 }
 
--- a/src/net/overlap.rs
+++ b/src/net/overlap.rs
@@ -1,6 +1,6 @@
 //! Which processes of this sidecar live: during an upgrade there are two, and together they are one.
 
-use super::bans::plain;
+use super::manual_ejections::file_name_part;
 use std::cell::RefCell;
 use std::collections::HashSet;
 use std::fs::{self, File, TryLockError};
@@ -21,7 +21,7 @@
 impl Overlap {
     /// Makes this process known to the others of the sidecar of this name.
     pub fn join(directory: &Path, name: &str) -> io::Result<Self> {
-        let stem = format!("process-{}-", plain(name));
+        let stem = format!("process-{}-", file_name_part(name));
         let process = std::process::id();
         // Locked before it has its name: under it an unlocked file is taken for a dead process's.
         let new = directory.join(format!("new-{stem}{process}"));
