--- a/src/net/overlap.rs
+++ b/src/net/hot_restart.rs
@@ -9,7 +9,7 @@
 
 /// A process's mark in the directory that all processes of a sidecar share: a file that it holds locked
 /// for as long as it lives, however it ends.
-pub struct Overlap {
+pub struct ProcessRegistration {
     directory: PathBuf,
     stem: String,
     own: PathBuf,
@@ -18,9 +18,9 @@
     living: RefCell<HashSet<PathBuf>>,
 }
 
-impl Overlap {
+impl ProcessRegistration {
     /// Makes this process known to the others of the sidecar of this name.
-    pub fn join(directory: &Path, name: &str) -> io::Result<Self> {
+    pub fn register(directory: &Path, name: &str) -> io::Result<Self> {
         let stem = format!("process-{}-", file_name_part(name));
         let process = std::process::id();
         // Locked before it has its name: under it an unlocked file is taken for a dead process's.
@@ -30,12 +30,12 @@
         let own = directory.join(format!("{stem}{process}"));
         fs::rename(&new, &own)?;
         let living = RefCell::default();
-        Ok(Overlap { directory: directory.to_owned(), stem, own, _held: held, living })
+        Ok(ProcessRegistration { directory: directory.to_owned(), stem, own, _held: held, living })
     }
 
     /// How many other processes live. Removes what dead ones have left. A look that fails says nothing of whom it was
     /// at, as where descriptors lack: then what was seen last stands.
-    pub fn others(&self) -> usize {
+    pub fn count_others(&self) -> usize {
         if let Ok(marks) = self.marks() {
             let before = self.living.take();
             let alive = marks.into_iter().filter(|mark| lives(mark).unwrap_or(before.contains(mark)));
@@ -58,7 +58,7 @@
     }
 }
 
-impl Drop for Overlap {
+impl Drop for ProcessRegistration {
     fn drop(&mut self) {
         let _ = fs::remove_file(&self.own);
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -2,7 +2,7 @@
 //! plain types up, each knowing only what stands before it:
 //!
 //! `guard`, `clock`, `start_times`, `list_translator`, `budget`, `keeping`, `discovery_health`, `discovery_call`,
-//! `peers`, `counters`, `manual_ejections`, `overlap`: tasks, time, lists in the policy's terms, sockets held, what is kept, what
+//! `peers`, `counters`, `manual_ejections`, `hot_restart`: tasks, time, lists in the policy's terms, sockets held, what is kept, what
 //! comes of discovery, calls at it, the fleet, counts, orders, other processes of this sidecar;
 //! `progress`, `passing`: how far an attempt is, bodies that pass through;
 //! `outbound`, `discovery`: connections to endpoints and to discovery;
@@ -19,6 +19,7 @@
 mod discovery_health;
 mod driver;
 mod guard;
+mod hot_restart;
 mod inbound;
 mod keeping;
 mod list_translator;
@@ -27,7 +28,6 @@
 mod message;
 mod open;
 mod outbound;
-mod overlap;
 mod passing;
 mod peers;
 mod phase;
@@ -50,12 +50,12 @@
     Config, ConfigError, DOOR_RESERVE, Difference, Fault, Named, Vars, differences, keys,
 };
 use gullpulley::{Balancer, is_local};
+use hot_restart::ProcessRegistration;
 use inbound::Inbound;
 use keeping::Keeping;
 use manual_ejections::{ManualEjectionStore, ManualEjections};
 use message::{Inbox, Input};
 use outbound::Outbound;
-use overlap::Overlap;
 use peers::Peers;
 use request::Wording;
 use std::io;
@@ -171,8 +171,8 @@
         // Before the first list, so before the first send.
         let _ = inbox.send(Input::Standing(standing(&ejections), oneshot::channel().0));
     }
-    let sharing = control.and_then(|_| join(&name)).map(|overlap| Sharing {
-        overlap,
+    let sharing = control.and_then(|_| join(&name)).map(|registration| Sharing {
+        registration,
         budget,
         inbound: inbound.clone(),
         outbound: outbound.clone(),
@@ -284,14 +284,14 @@
 }
 
 /// Makes this process known to others of the same sidecar. Where that fails it serves as if alone.
-fn join(name: &str) -> Option<Overlap> {
-    let joined = Overlap::join(&std::env::temp_dir(), name);
+fn join(name: &str) -> Option<ProcessRegistration> {
+    let joined = ProcessRegistration::register(&std::env::temp_dir(), name);
     joined.inspect_err(|e| warn!("$TMPDIR: {e}; other processes of this sidecar go unseen")).ok()
 }
 
 /// Parts with other processes of this sidecar what it may hold.
 struct Sharing {
-    overlap: Overlap,
+    registration: ProcessRegistration,
     budget: Rc<Budget>,
     inbound: Rc<Inbound>,
     outbound: Rc<Outbound>,
@@ -301,7 +301,7 @@
 impl Sharing {
     /// Looks for others, and parts with them; how many there are.
     fn look(&self) -> usize {
-        let others = self.overlap.others();
+        let others = self.registration.count_others();
         if self.budget.share(others + 1) {
             let _ = self.inbox.send(Input::Shared(others + 1));
             self.outbound.shrink();
--- a/tests/overlap_unseen.rs
+++ b/tests/overlap_unseen.rs
@@ -1,6 +1,6 @@
 //! During an upgrade both processes are one sidecar, as long as both live. A process that lacks a descriptor for its look at the
 //! other's mark took that for the other's end: it took back the whole of what it may hold, and the whole budget of cold endpoints.
-//! Read in `net/overlap.rs`: what can't be opened counts as dead, and a folder that can't be read as empty.
+//! Read in `net/hot_restart.rs`: what can't be opened counts as dead, and a folder that can't be read as empty.
 
 #[path = "support/node.rs"]
 mod support;
