--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -2,8 +2,8 @@
 //! occurs. How many endpoints there are, and which of them are avoided, the module says.
 
 use super::discovery_health::DiscoveryHealth;
-use super::keeping::Keeping;
 use super::peers::Peers;
+use super::persistence::Persistence;
 use crate::logging::LogHandle;
 use gullpulley::BalancerStats;
 use prometheus_client::encoding::text;
@@ -49,7 +49,7 @@
     deciding: Histogram,
     log: LogHandle,
     health: Rc<DiscoveryHealth>,
-    keeping: Option<Rc<Keeping>>,
+    persistence: Option<Rc<Persistence>>,
     peers: Option<Rc<Peers>>,
 }
 
@@ -73,7 +73,7 @@
         classes: &[String],
         log: LogHandle,
         health: Rc<DiscoveryHealth>,
-        keeping: Option<Rc<Keeping>>,
+        persistence: Option<Rc<Persistence>>,
         peers: Option<Rc<Peers>>,
     ) -> Rc<Self> {
         // 1 ms to 16 s, and 1 us to 16 ms: what a bucket tells is right within a factor of two, or four.
@@ -87,7 +87,7 @@
         };
         let (upstream, pending) = Default::default();
         let classes = classes.iter().map(class).collect();
-        Rc::new(Counters { classes, upstream, pending, taking, deciding, log, health, keeping, peers })
+        Rc::new(Counters { classes, upstream, pending, taking, deciding, log, health, persistence, peers })
     }
 
     /// A request of a class has come whole.
@@ -192,8 +192,8 @@
         registry.register("window_attempts", "Own attempts that may be out", size);
         registry.register("window_attempts_out", "Own attempts that are out", out);
         self.health.register(&mut registry);
-        if let Some(keeping) = &self.keeping {
-            keeping.register(&mut registry);
+        if let Some(persistence) = &self.persistence {
+            persistence.register(&mut registry);
         }
         if let Some(peers) = &self.peers {
             peers.register(&mut registry);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,7 @@
 //! The sidecar on its sockets. Start-up, signals and the parts' acquaintance are here; the rest, from
 //! plain types up, each knowing only what stands before it:
 //!
-//! `guard`, `clock`, `start_times`, `list_translator`, `budget`, `keeping`, `discovery_health`, `discovery_call`,
+//! `guard`, `clock`, `start_times`, `list_translator`, `budget`, `persistence`, `discovery_health`, `discovery_call`,
 //! `peers`, `counters`, `manual_ejections`, `hot_restart`: tasks, time, lists in the policy's terms, sockets held, what is kept, what
 //! comes of discovery, calls at it, the fleet, counts, orders, other processes of this sidecar;
 //! `progress`, `passing`: how far an attempt is, bodies that pass through;
@@ -21,7 +21,6 @@
 mod guard;
 mod hot_restart;
 mod inbound;
-mod keeping;
 mod list_translator;
 mod log_text;
 mod manual_ejections;
@@ -30,6 +29,7 @@
 mod outbound;
 mod passing;
 mod peers;
+mod persistence;
 mod phase;
 mod progress;
 mod reply;
@@ -52,11 +52,11 @@
 use gullpulley::{Balancer, is_local};
 use hot_restart::ProcessRegistration;
 use inbound::Inbound;
-use keeping::Keeping;
 use manual_ejections::{ManualEjectionStore, ManualEjections};
 use message::{Inbox, Input};
 use outbound::Outbound;
 use peers::Peers;
+use persistence::Persistence;
 use request::Wording;
 use std::io;
 use std::net::SocketAddr;
@@ -120,12 +120,12 @@
     let (classes, tenants) = (listed(&names.classes), listed(&names.tenants));
     let (to_log, disk) = crossbeam_channel::bounded(gullpulley::fleet::host::DISK_DEPTH);
     let agrees = fleet.as_ref().is_some_and(|fleet| !fleet.voters.is_empty());
-    let keeping = match state {
+    let persistence = match state {
         Some(folder) => {
-            let (keeping, said) = Keeping::open(folder, &name, agrees.then_some(to_log))
+            let (persistence, said) = Persistence::open(folder, &name, agrees.then_some(to_log))
                 .map_err(|e| format!("state: {e}"))?;
-            spawn_local(keeping.clone().follow(said));
-            Some(keeping)
+            spawn_local(persistence.clone().follow(said));
+            Some(persistence)
         }
         None => None,
     };
@@ -141,19 +141,19 @@
         let inbox = inbox.clone();
         // Fails only while the process ends.
         spawn_local(peers.clone().follow(move |living| drop(inbox.send(Input::Balancers(living)))));
-        let (peers, keeping) = (peers.clone(), keeping.clone());
+        let (peers, persistence) = (peers.clone(), persistence.clone());
         spawn_local(async move {
             // Nothing is said of a start before it is durable.
-            let start = match &keeping {
-                Some(keeping) => keeping.start(DISK_WAIT).await,
+            let start = match &persistence {
+                Some(persistence) => persistence.start(DISK_WAIT).await,
                 None => None,
             };
-            let kept = keeping.zip(start).map(|(keeping, (folder, _))| keeping.joining(folder));
+            let kept = persistence.zip(start).map(|(persistence, (folder, _))| persistence.joining(folder));
             peers.join(start, kept);
         });
     }
     let health = DiscoveryHealth::new();
-    let counters = Counters::new(&classes, log, health.clone(), keeping, peers.clone());
+    let counters = Counters::new(&classes, log, health.clone(), persistence, peers.clone());
     let outbound = Outbound::new(&settings, budget.clone(), counters.clone());
     let inbound = Inbound::new(
         Wording { settings: settings.clone(), classes, tenants },
--- a/src/net/keeping.rs
+++ b/src/net/persistence.rs
@@ -24,7 +24,7 @@
 const STATEMENTS: usize = 64;
 
 /// The folder of a process, and what is known of it.
-pub struct Keeping {
+pub struct Persistence {
     name: String,
     /// The log's thread writes too.
     writer: Arc<Mutex<Writer>>,
@@ -42,7 +42,7 @@
     failing: Cell<bool>,
 }
 
-impl Keeping {
+impl Persistence {
     /// Starts the thread of this folder; returns at once, and tells what comes of it to `follow`, and to the log.
     pub fn open(
         folder: PathBuf,
@@ -65,8 +65,9 @@
         let writer = Arc::new(Mutex::new(Writer::start(folder, name.to_owned(), say)?));
         let (found, told, start, incarnation, set_aside, over, failing) = Default::default();
         let name = name.to_owned();
-        let keeping = Keeping { name, writer, found, told, start, incarnation, set_aside, over, failing };
-        Ok((Rc::new(keeping), said))
+        let persistence =
+            Persistence { name, writer, found, told, start, incarnation, set_aside, over, failing };
+        Ok((Rc::new(persistence), said))
     }
 
     fn writer(&self) -> MutexGuard<'_, Writer> {
