--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -4,7 +4,7 @@
 use super::discovery_call::{ANSWER, FetchError, Over, call};
 use super::discovery_health::DiscoveryHealth;
 use super::guard::Guard;
-use super::list_translator::{ListTranslator, News};
+use super::list_translator::{ListTranslator, ListUpdate};
 use gullpulley::config::{LIST_MOST, List, ListReader, Names};
 use gullpulley::{
     Discovery as Mode, DiscoveryFailure, DiscoverySchedule, EndpointId, LISTING_DELAY, Membership, Settings,
@@ -32,7 +32,7 @@
 /// has begun to count anew.
 const OLDER_FOR: Duration = Duration::from_secs(6);
 /// What may be asked of discovery, by the driver or at a change of the configuration.
-pub enum Call {
+pub enum DiscoveryCommand {
     /// Follow changes, or stop.
     Watch(bool),
     /// Ask for the whole list once.
@@ -75,7 +75,7 @@
     /// Why it fails, since the last list.
     failing: RefCell<Option<String>>,
     /// Where news goes.
-    report: Box<dyn Fn(News)>,
+    report: Box<dyn Fn(ListUpdate)>,
 }
 
 impl Discovery {
@@ -87,7 +87,7 @@
         seed: u64,
         health: Rc<DiscoveryHealth>,
         clock: Clock,
-        report: impl Fn(News) + 'static,
+        report: impl Fn(ListUpdate) + 'static,
     ) -> Rc<Self> {
         let began = Instant::now();
         let mode = settings.discovery;
@@ -117,7 +117,7 @@
     }
 
     /// The list as last held, to start from.
-    pub fn cached(&self, list: List) -> News {
+    pub fn cached(&self, list: List) -> ListUpdate {
         self.rev.set(list.rev);
         let mut news = self.translator.news(list);
         if let Membership::Full(entries) | Membership::Delta(entries) = news.membership {
@@ -138,7 +138,7 @@
 
     /// Carries out the driver's calls. Of several calls for a watch the first that brings a list ends the others;
     /// each of those that fail before is answered by one event, and so is a watch that is over.
-    pub async fn run(self: Rc<Self>, mut calls: UnboundedReceiver<Call>) {
+    pub async fn run(self: Rc<Self>, mut calls: UnboundedReceiver<DiscoveryCommand>) {
         let mut keeper: Option<Guard> = None;
         if self.mode == Mode::Push {
             let this = self.clone();
@@ -147,14 +147,17 @@
         while let Some(call) = calls.recv().await {
             let this = self.clone();
             match call {
-                Call::Watch(true) if self.mode == Mode::Push => this.tell(News::unchanged()), // it is up already
-                Call::Watch(true) => this.begin_watch(),
-                Call::Watch(false) => {
+                // It is up already.
+                DiscoveryCommand::Watch(true) if self.mode == Mode::Push => {
+                    this.tell(ListUpdate::unchanged())
+                }
+                DiscoveryCommand::Watch(true) => this.begin_watch(),
+                DiscoveryCommand::Watch(false) => {
                     self.watches.take();
-                    this.tell(News::unchanged());
+                    this.tell(ListUpdate::unchanged());
                 }
-                Call::Move(address) => this.move_to(address),
-                Call::Fetch => {
+                DiscoveryCommand::Move(address) => this.move_to(address),
+                DiscoveryCommand::Fetch => {
                     spawn_local(async move { this.fetch_whole().await });
                 }
             }
@@ -174,7 +177,7 @@
         self.unconfirmed.set(true);
         // The old one closes soon. What it had left to say counts as known 4 s from now, and what it wrote at once.
         self.left_behind.borrow_mut().append(&mut self.watches.borrow_mut());
-        self.tell(News::of(Membership::Moved));
+        self.tell(ListUpdate::of(Membership::Moved));
         self.schedule.borrow_mut().moved(self.began.elapsed());
         self.plan_call(Some(Duration::ZERO));
     }
@@ -373,7 +376,7 @@
         self.left_behind.take();
         self.schedule.borrow_mut().heard(self.began.elapsed());
         info!(rev = self.rev.get(), "list: confirmed at discovery's new address");
-        self.tell(News::unchanged());
+        self.tell(ListUpdate::unchanged());
     }
 
     /// Tells that a call or watch has failed; for how long nothing had been heard.
@@ -383,11 +386,11 @@
         if self.failing.replace(Some(reason.to_owned())).is_none_or(|before| before != reason) {
             warn!(address = %self.address.get(), "discovery: {reason}");
         }
-        self.tell(News::of(Membership::Failed { silent_for, failure }));
+        self.tell(ListUpdate::of(Membership::Failed { silent_for, failure }));
         silent_for
     }
 
-    fn tell(&self, news: News) {
+    fn tell(&self, news: ListUpdate) {
         (self.report)(news);
     }
 }
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -4,8 +4,8 @@
 
 use super::clock::Clock;
 use super::counters::Counters;
-use super::discovery::{Call, Discovery};
-use super::list_translator::News;
+use super::discovery::{Discovery, DiscoveryCommand};
+use super::list_translator::ListUpdate;
 use super::log_text::{log_leaving, outcome_name};
 use super::manual_ejections::ManualEjections;
 use super::message::{Answer, Arrival, Content, Inbox, Input};
@@ -36,7 +36,7 @@
     /// For the names of endpoints.
     pub discovery: Rc<Discovery>,
     /// What discovery is asked.
-    pub calls: UnboundedSender<Call>,
+    pub calls: UnboundedSender<DiscoveryCommand>,
     /// Where attempts report.
     pub inbox: Inbox,
     /// The counts of the process.
@@ -298,7 +298,7 @@
         }
     }
 
-    fn list(&mut self, news: News) {
+    fn list(&mut self, news: ListUpdate) {
         for (id, address) in &news.addresses {
             let before = self.addresses.insert(*id, *address);
             if before.is_some_and(|before| before != *address) {
@@ -386,8 +386,8 @@
                 self.timers.push(Reverse((Instant::now() + after, token.0)));
             }
             // These fail only while the process ends.
-            Action::Watch(on) => drop(self.around.calls.send(Call::Watch(on))),
-            Action::FetchList => drop(self.around.calls.send(Call::Fetch)),
+            Action::Watch(on) => drop(self.around.calls.send(DiscoveryCommand::Watch(on))),
+            Action::FetchList => drop(self.around.calls.send(DiscoveryCommand::Fetch)),
             Action::Probe { endpoint } => self.probe(endpoint),
             Action::CloseIdle { endpoint } => self.around.outbound.close_idle(endpoint),
             Action::Log(text) => info!("module: {}", text.replace(['\n', '\r'], " ")),
--- a/src/net/list_translator.rs
+++ b/src/net/list_translator.rs
@@ -11,23 +11,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// News of the list in the module's terms, and where the endpoints are.
-pub struct News {
+/// An update of the list in the module's terms, and where the endpoints are.
+pub struct ListUpdate {
     /// For the module.
     pub membership: Membership,
     /// Addresses of those named.
     pub addresses: Vec<(EndpointId, SocketAddr)>,
 }
 
-impl News {
-    /// News that names no endpoint's address.
+impl ListUpdate {
+    /// An update that names no endpoint's address.
     pub fn of(membership: Membership) -> Self {
-        News { membership, addresses: Vec::new() }
+        ListUpdate { membership, addresses: Vec::new() }
     }
 
     /// The list is current as it is.
     pub fn unchanged() -> Self {
-        News::of(Membership::Delta(Vec::new()))
+        ListUpdate::of(Membership::Delta(Vec::new()))
     }
 }
 
@@ -56,7 +56,7 @@
     }
 
     /// A list in the module's terms. Of an endpoint named twice the last word counts.
-    pub fn news(&self, list: List) -> News {
+    pub fn news(&self, list: List) -> ListUpdate {
         let (mut entries, mut addresses, mut seen) = (Vec::new(), Vec::new(), HashSet::new());
         let (mut starts, now) = (self.starts.borrow_mut(), self.clock.now());
         starts.take(list.targets.iter().map(|target| target.boot_ms as u64), now);
@@ -74,7 +74,7 @@
             starts.retain(|id| seen.contains(&id));
         }
         let membership = if list.all { Membership::Full(entries) } else { Membership::Delta(entries) };
-        News { membership, addresses }
+        ListUpdate { membership, addresses }
     }
 
     fn entry(&self, id: EndpointId, started: Option<Duration>, target: &Target) -> EndpointInfo {
--- a/src/net/message.rs
+++ b/src/net/message.rs
@@ -1,6 +1,6 @@
 //! What the parts on the sockets tell the driver, and a request and its answer as they pass between them.
 
-use super::list_translator::News;
+use super::list_translator::ListUpdate;
 use super::manual_ejections::ManualEjections;
 use super::outbound::{Ended, Passing, set_time_left};
 use super::passing::{Payload, Upload};
@@ -33,7 +33,7 @@
     /// A probe ended; it took so long.
     ProbeEnded(EndpointId, Ended, Duration),
     /// News from discovery.
-    List(News),
+    List(ListUpdate),
     /// The operators ask whether anybody has this uid.
     Known(String, oneshot::Sender<bool>),
     /// What the operators have said of endpoints, as it stands now; confirmed once it is in force.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -43,7 +43,7 @@
 use clock::Clock;
 use control::{Door, Followed};
 use counters::Counters;
-use discovery::{Call, Discovery};
+use discovery::{Discovery, DiscoveryCommand};
 use discovery_health::DiscoveryHealth;
 use driver::{Around, Driver};
 use gullpulley::config::{
@@ -336,7 +336,7 @@
 impl Reload {
     /// At each SIGHUP reads the configuration again: what can change does, what can't is said, and a faulty file
     /// changes nothing.
-    async fn follow(mut self, mut hup: Signal, calls: mpsc::UnboundedSender<Call>) {
+    async fn follow(mut self, mut hup: Signal, calls: mpsc::UnboundedSender<DiscoveryCommand>) {
         while hup.recv().await.is_some() {
             match self.read().await {
                 Ok(config) => self.apply(config, &calls),
@@ -365,7 +365,7 @@
         }
     }
 
-    fn apply(&mut self, config: Config, calls: &mpsc::UnboundedSender<Call>) {
+    fn apply(&mut self, config: Config, calls: &mpsc::UnboundedSender<DiscoveryCommand>) {
         for Difference { key, before, after } in differences(&self.held, &config.entries()) {
             let [before, after] = [&before, &after].map(|value| value.as_deref().unwrap_or("unsaid"));
             if keys::LIVE.contains(&key.as_str()) {
@@ -383,6 +383,6 @@
                 warn!("SIGHUP: {key} stays {before}; {after} holds from the next start");
             }
         }
-        let _ = calls.send(Call::Move(config.discovery)); // fails only while the process ends
+        let _ = calls.send(DiscoveryCommand::Move(config.discovery)); // fails only while the process ends
     }
 }
