--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -77,11 +77,11 @@
             Holder::Endpoint => self.sockets_fit(),
             Holder::Request => self.requests.get() < self.part(self.requests_most),
         };
-        room.then(|| self.take_anyhow(holder))
+        room.then(|| self.take_unconditionally(holder))
     }
 
     /// A permit for what holds its socket already, whether there is room or not.
-    pub fn take_anyhow(self: &Rc<Self>, holder: Holder) -> Permit {
+    pub fn take_unconditionally(self: &Rc<Self>, holder: Holder) -> Permit {
         let count = self.count(holder);
         count.set(count.get() + 1);
         Permit { budget: self.clone(), holder }
@@ -94,12 +94,12 @@
     }
 
     /// Whether only the connections to endpoints stand in the way of one more client.
-    pub fn endpoints_crowd(&self) -> bool {
+    pub fn blocked_by_endpoints(&self) -> bool {
         self.clients_fit() && !self.sockets_fit()
     }
 
     /// Whether more sockets are held than there is a part for.
-    pub fn over(&self) -> bool {
+    pub fn over_limit(&self) -> bool {
         self.in_use() > self.part(self.total)
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// Whether no more than an eighth of the clients' places are left.
-    pub fn crowded(&self) -> bool {
+    pub fn clients_near_limit(&self) -> bool {
         self.clients.get() * 8 >= self.part(self.clients_most) * 7
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// Waits until a client's socket comes free.
-    pub async fn freed(&self) {
+    pub async fn client_released(&self) {
         self.freed.notified().await;
     }
 
--- a/src/net/budget/tests.rs
+++ b/src/net/budget/tests.rs
@@ -12,7 +12,7 @@
     let alone = [Holder::Client, Holder::Endpoint, Holder::Request].map(|h| held(&budget, h));
     let kept: Vec<Permit> = std::iter::from_fn(|| budget.take(Holder::Endpoint)).collect();
     budget.share(2);
-    assert!(budget.over() && budget.take(Holder::Endpoint).is_none());
+    assert!(budget.over_limit() && budget.take(Holder::Endpoint).is_none());
     drop(kept);
     let parted = [Holder::Client, Holder::Endpoint, Holder::Request].map(|h| held(&budget, h));
     for (part, whole) in parted.into_iter().zip(alone) {
--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -196,7 +196,7 @@
 
     async fn all_gone(&self) {
         while self.budget.clients() > 0 {
-            self.budget.freed().await;
+            self.budget.client_released().await;
         }
     }
 
@@ -227,7 +227,7 @@
     fn admit(self: &Rc<Self>, stream: TcpStream, permit: Option<Permit>) {
         let shed = permit.is_none();
         // What has been accepted takes its descriptor, and is waited for at the end, whether there was room or not.
-        let permit = permit.unwrap_or_else(|| self.budget.take_anyhow(Holder::Shed));
+        let permit = permit.unwrap_or_else(|| self.budget.take_unconditionally(Holder::Shed));
         // Heard from now on, not from when the task first runs: the call to close may come in between.
         let (this, close) = (self.clone(), self.close.subscribe());
         spawn_local(async move { this.connection(stream, shed, close, permit).await });
@@ -236,7 +236,7 @@
     /// A permit for one more client; none where it can only be told that there is no room.
     async fn room(&self) -> Option<Permit> {
         loop {
-            while self.budget.endpoints_crowd() && self.outbound.close_oldest_idle() {}
+            while self.budget.blocked_by_endpoints() && self.outbound.close_oldest_idle() {}
             if let Some(permit) = self.budget.take(Holder::Client) {
                 return Some(permit);
             }
@@ -246,7 +246,7 @@
                 drop(permit);
                 return None;
             }
-            self.budget.freed().await;
+            self.budget.client_released().await;
         }
     }
 
@@ -260,7 +260,7 @@
         let stream = ClientStream::new(stream);
         let close_mode = self.talk(&stream, shed, &mut close).await;
         // Who has been answered must not keep a place that others want: there it is let go at once.
-        if close_mode == CloseMode::Graceful && !self.budget.crowded() {
+        if close_mode == CloseMode::Graceful && !self.budget.clients_near_limit() {
             tokio::select! {
                 () = stream.close() => {}
                 () = self.room_wanted(&mut close) => {}
@@ -373,7 +373,7 @@
             turn.over();
         }
         // Who only asks whether we are ready and stays takes a place that requests want, where few are left.
-        let in_the_way = asks_ready && self.budget.crowded();
+        let in_the_way = asks_ready && self.budget.clients_near_limit();
         if self.phase.get().ending() || shed || turn.last.get() || in_the_way {
             reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
--- a/src/net/outbound.rs
+++ b/src/net/outbound.rs
@@ -297,7 +297,7 @@
 
     /// Closes idle connections until no more sockets are held than there is a part for.
     pub fn shrink(&self) {
-        while self.budget.over() && self.close_oldest_idle() {}
+        while self.budget.over_limit() && self.close_oldest_idle() {}
     }
 
     /// Closes the connection that has been idle longest; false if there is none.
