--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -61,7 +61,7 @@
 
 /// A request that was taken and has not ended; counts as pending while it lives. One that is dropped
 /// without an end has lost its client, and stands under no end.
-pub struct Taken {
+pub struct PendingRequest {
     counters: Rc<Counters>,
     class: usize,
     at: Instant,
@@ -91,13 +91,13 @@
     }
 
     /// A request of a class has come whole.
-    pub fn taken(self: &Rc<Self>, class: usize) -> Taken {
+    pub fn start_request(self: &Rc<Self>, class: usize) -> PendingRequest {
         self.pending.set(self.pending.get() + 1);
-        Taken { counters: self.clone(), class, at: Instant::now() }
+        PendingRequest { counters: self.clone(), class, at: Instant::now() }
     }
 
     /// A request of a class ended.
-    pub fn ended(&self, class: usize, end: End) {
+    pub fn record_end(&self, class: usize, end: End) {
         if let Some(class) = self.classes.get(class) {
             let count = &class.ended[end as usize];
             count.set(count.get() + 1);
@@ -105,13 +105,13 @@
     }
 
     /// An attempt was written to an endpoint, or is taken back as it never was.
-    pub fn sent(&self, written: bool) {
+    pub fn record_attempt(&self, written: bool) {
         let count = self.upstream.get();
         self.upstream.set(if written { count + 1 } else { count.saturating_sub(1) });
     }
 
     /// The module has decided on an event, in this time.
-    pub fn decided(&self, took: Duration) {
+    pub fn record_decision(&self, took: Duration) {
         self.deciding.observe(took.as_secs_f64());
     }
 
@@ -208,17 +208,17 @@
     vec![("class", class.to_owned()), ("outcome", end.to_owned())]
 }
 
-impl Taken {
+impl PendingRequest {
     /// It ended.
     pub fn end(self, end: End) {
-        self.counters.ended(self.class, end);
+        self.counters.record_end(self.class, end);
         if let Some(class) = self.counters.classes.get(self.class) {
             class.taking[end as usize].observe(self.at.elapsed().as_secs_f64());
         }
     }
 }
 
-impl Drop for Taken {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
         let pending = &self.counters.pending;
         pending.set(pending.get().saturating_sub(1));
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -352,7 +352,7 @@
             };
             let began = Instant::now();
             self.balancer.handle(self.clock.at(began), event, &mut actions);
-            self.around.counters.decided(began.elapsed());
+            self.around.counters.record_decision(began.elapsed());
             for action in actions.drain(..) {
                 self.carry_out(action);
             }
--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -362,7 +362,7 @@
             match served {
                 Ok(reply) => reply,
                 Err((StatusCode::SERVICE_UNAVAILABLE, problem)) => {
-                    class.into_iter().for_each(|class| self.counters.ended(class, End::Rejected));
+                    class.into_iter().for_each(|class| self.counters.record_end(class, End::Rejected));
                     self.no_room(problem)
                 }
                 // What is no proper request ends nothing that would count.
@@ -418,7 +418,7 @@
         if !self.ids.borrow_mut().insert(named.to_owned()) {
             return Err((StatusCode::CONFLICT, "X-Request-ID is not fresh"));
         }
-        let taken = self.counters.taken(request.class.0);
+        let taken = self.counters.start_request(request.class.0);
         let id = RequestId(self.next.get());
         self.next.set(id.0 + 1);
         request.id = id;
--- a/src/net/progress.rs
+++ b/src/net/progress.rs
@@ -44,7 +44,7 @@
         if self.written.replace(written) != written
             && let Some(counters) = &self.counters
         {
-            counters.sent(written);
+            counters.record_attempt(written);
         }
     }
 }
--- a/src/net/reply.rs
+++ b/src/net/reply.rs
@@ -1,7 +1,7 @@
 //! Answers to clients, held or passing, and the requests that wait for them.
 
 use super::budget::Permit;
-use super::counters::{End, Taken};
+use super::counters::{End, PendingRequest};
 use super::message::{Inbox, Input};
 use super::outbound::Passing;
 use super::passing::PassError;
@@ -58,7 +58,7 @@
     /// Gone once it is over.
     pub answer: Option<Passing>,
     /// Counts it as taken; gone once it is over.
-    pub taken: Option<Taken>,
+    pub taken: Option<PendingRequest>,
     /// Of its connection.
     pub turn: Rc<Turn>,
     /// What it may take.
