--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -42,7 +42,7 @@
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// What the door needs of the rest of the sidecar.
-pub struct Door {
+pub struct AdminApi {
     ejections: ManualEjectionStore,
     counters: Rc<Counters>,
     inbound: Rc<Inbound>,
@@ -103,7 +103,7 @@
     }
 }
 
-impl Door {
+impl AdminApi {
     /// A door onto these.
     pub fn new(
         ejections: ManualEjectionStore,
@@ -112,7 +112,7 @@
         inbox: Inbox,
     ) -> Rc<Self> {
         let (ordering, callers) = Default::default();
-        Rc::new(Door { ejections, counters, inbound, inbox, ordering, callers })
+        Rc::new(AdminApi { ejections, counters, inbound, inbox, ordering, callers })
     }
 
     /// Takes calls for as long as the process lives.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -41,7 +41,7 @@
 use crate::logging::LogHandle;
 use budget::Budget;
 use clock::Clock;
-use control::{Door, Followed};
+use control::{AdminApi, Followed};
 use counters::Counters;
 use discovery::{Discovery, DiscoveryCommand};
 use discovery_health::DiscoveryHealth;
@@ -236,7 +236,7 @@
     };
     if let Some((control, door)) = door {
         info!(sidecar = name, %control, "the operators' door is open");
-        let behind = Door::new(ejections, counters, inbound.clone(), inbox);
+        let behind = AdminApi::new(ejections, counters, inbound.clone(), inbox);
         // Orders given to an older process since this one began hold from the first client on.
         let followed = behind.look(Followed::InForce(None)).await;
         spawn_local(behind.clone().follow(followed));
