--- a/src/net/discovery_call.rs
+++ b/src/net/discovery_call.rs
@@ -1,4 +1,4 @@
-//! One call at discovery: made, logged and counted, and why it or the watch that it opened ended.
+//! A single call to discovery, with logging and counting, and the reasons for which a call or a watch ends.
 
 use super::discovery_health::{DiscoveryHealth, Outcome};
 use super::guard::Guard;
@@ -15,76 +15,78 @@
 use tokio::time::{Instant, timeout};
 use tracing::info;
 
-/// A connection to discovery that is not up after this long has failed.
-const CONNECT: Duration = Duration::from_secs(1);
-/// A call not answered after this long has failed. Discovery answers one call after another, a crowd of
-/// callers waits, and it sends away after 3 s: to give up sooner, again and again, would keep it busy with what nobody
-/// waits for, and leave unknown whether the call was lost.
-pub const ANSWER: Duration = Duration::from_millis(3100);
-/// A call refused sooner has not waited for its turn at discovery.
-const AT_ONCE: Duration = Duration::from_millis(250);
+/// Time-out for connecting to discovery.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time-out for the answer to a call. Discovery serves calls one after another, queues the others under
+/// load, and rejects a call that has waited 3 s. A shorter time-out would keep it busy with abandoned
+/// calls, and would leave open whether the call was lost.
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(3100);
+/// A call refused within this has not waited in discovery's queue.
+const IMMEDIATE_REFUSAL: Duration = Duration::from_millis(250);
 
-/// Why a watch is over.
+/// Why a watch ended.
 #[derive(Debug, Error)]
-pub enum Over {
-    /// Nothing came for too long.
+pub enum WatchEnd {
+    /// Nothing was received for too long.
     #[error("the watch fell silent")]
     Silent,
-    /// The call for it failed.
+    /// The call that opens it failed.
     #[error("{0}")]
     Call(#[from] CallError),
-    /// It ended, or brought what is no list.
+    /// It was closed or reset, or delivered data that is not a list.
     #[error("{0}")]
     Broken(String),
-    /// It told of a list that was superseded before.
-    #[error("answered with version {told} of the list, older than version {held} that was told before")]
-    Older {
-        /// What it told.
-        told: u64,
-        /// What was told before.
+    /// It delivered a list that is older than one received before.
+    #[error("answered with list version {received}, older than version {held} received before")]
+    Outdated {
+        /// The version that it delivered.
+        received: u64,
+        /// The version received before.
         held: u64,
     },
 }
 
-impl Over {
-    /// What a watch that lasted so long says of discovery.
+impl WatchEnd {
+    /// The failure of discovery that follows from the end of a watch after this long.
     pub fn failure(&self, lasted: Duration) -> DiscoveryFailure {
         match self {
-            Over::Call(CallError::NotConnected(error))
+            WatchEnd::Call(CallError::NotConnected(error))
                 if error.kind() == io::ErrorKind::ConnectionRefused =>
             {
                 DiscoveryFailure::NotListening
             }
-            Over::Call(CallError::ConnectTimedOut | CallError::NotConnected(_)) => {
+            WatchEnd::Call(CallError::ConnectTimedOut | CallError::NotConnected(_)) => {
                 DiscoveryFailure::NotConnected
             }
-            Over::Call(_) if lasted < AT_ONCE => DiscoveryFailure::RefusedAtOnce,
-            Over::Call(CallError::Status(StatusCode::SERVICE_UNAVAILABLE)) => DiscoveryFailure::SentAway,
-            Over::Silent => DiscoveryFailure::WatchSilent,
+            WatchEnd::Call(_) if lasted < IMMEDIATE_REFUSAL => DiscoveryFailure::RefusedAtOnce,
+            WatchEnd::Call(CallError::Status(StatusCode::SERVICE_UNAVAILABLE)) => {
+                DiscoveryFailure::SentAway
+            }
+            WatchEnd::Silent => DiscoveryFailure::WatchSilent,
             _ => DiscoveryFailure::Unanswered,
         }
     }
 }
 
-/// Why a call has failed.
+/// Why a call failed.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// The connection did not come up.
-    #[error("no connection in time")]
+    /// The connection was not established in time.
+    #[error("connecting timed out")]
     ConnectTimedOut,
-    /// The connection was refused, or nothing leads there.
+    /// The connection was refused, or the address is unreachable.
     #[error("{0}")]
     NotConnected(io::Error),
     /// No answer in time.
     #[error("no answer in time")]
     TimedOut,
-    /// Another status than 200.
+    /// A status other than 200.
     #[error("answered {0}")]
     Status(StatusCode),
-    /// The connection broke, or brought what is no answer.
+    /// The connection was reset, or delivered an invalid answer.
     #[error("{0}")]
     Broken(#[from] hyper::Error),
-    /// The request could not be worded.
+    /// The request could not be built.
     #[error("{0}")]
     Unsendable(#[from] hyper::http::Error),
 }
@@ -101,33 +103,33 @@
     }
 }
 
-/// Why the whole list did not come.
+/// Why fetching the whole list failed.
 #[derive(Debug, Error)]
 pub enum FetchError {
     /// The call failed.
     #[error("{0}")]
     Call(#[from] CallError),
-    /// It was answered, and the list did not come in time.
-    #[error("the list never came")]
+    /// The call was answered, but the list did not arrive in time.
+    #[error("the body of the answer timed out")]
     TimedOut,
-    /// The answer broke off, or is too long.
+    /// The answer was truncated or is too long.
     #[error("{0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// What came is no list.
-    #[error("no list: {0}")]
+    /// The body is not a valid list.
+    #[error("invalid list: {0}")]
     Unreadable(#[from] serde_json::Error),
 }
 
-/// A call that has begun. Dropped before it has ended, it says so in the log.
+/// A call in progress; logs a line when it is dropped before it has ended.
 struct PendingCall {
-    began: Instant,
+    started: Instant,
     address: SocketAddr,
     ended: bool,
 }
 
 impl PendingCall {
     fn ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started.elapsed().as_millis() as u64
     }
 }
 
@@ -139,31 +141,31 @@
     }
 }
 
-/// Makes a call, and logs what became of it. One that is dropped, as discovery has moved or another call has brought
-/// the list, has no outcome.
+/// Makes a call, and logs and counts its outcome. A call that is dropped has no outcome: discovery's
+/// address has changed or another call has delivered the list.
 pub async fn call(
     address: SocketAddr,
     path: &str,
     health: &DiscoveryHealth,
 ) -> Result<(Response<Incoming>, Guard), CallError> {
-    let mut pending = PendingCall { began: Instant::now(), address, ended: false };
-    let answered = attempt(address, path).await;
+    let mut pending = PendingCall { started: Instant::now(), address, ended: false };
+    let result = send_call(address, path).await;
     pending.ended = true;
-    let outcome = answered.as_ref().map_or_else(CallError::outcome, |_| Outcome::Answered);
-    health.called(outcome);
+    let outcome = result.as_ref().map_or_else(CallError::outcome, |_| Outcome::Answered);
+    health.record_call(outcome);
     info!(%address, path, outcome = outcome.name(), ms = pending.ms(), "call");
-    answered
+    result
 }
 
-async fn attempt(address: SocketAddr, path: &str) -> Result<(Response<Incoming>, Guard), CallError> {
-    let connect = timeout(CONNECT, TcpConnection::connect(address)).await;
+async fn send_call(address: SocketAddr, path: &str) -> Result<(Response<Incoming>, Guard), CallError> {
+    let connect = timeout(CONNECT_TIMEOUT, TcpConnection::connect(address)).await;
     let connection = connect.map_err(|_| CallError::ConnectTimedOut)?.map_err(CallError::NotConnected)?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(connection)).await?;
     let task = spawn_local(connection);
     let guard = Guard::new(task.abort_handle());
     let request =
         Request::get(path).header(header::HOST, address.to_string()).body(Empty::<Bytes>::new())?;
-    let answer = timeout(ANSWER, sender.send_request(request)).await;
+    let answer = timeout(ANSWER_TIMEOUT, sender.send_request(request)).await;
     let response = answer.map_err(|_| CallError::TimedOut)??;
     match response.status() {
         StatusCode::OK => Ok((response, guard)),
--- a/src/net/discovery_health.rs
+++ b/src/net/discovery_health.rs
@@ -1,5 +1,4 @@
-//! What has come of discovery: when there was last word of it, and what became of each call. Counted here
-//! once, where the fact occurs, for the operators to read.
+//! Metrics of discovery: when data was last received, and the outcomes of calls.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -10,24 +9,24 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What became of a call at discovery.
+/// The outcome of a call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// 200; what follows on a watch is no call any more.
+    /// 200; what follows on a watch no longer counts as part of the call.
     Answered,
-    /// 503: it has no room, or waited for too long.
+    /// 503: discovery has no capacity, or the call waited there for too long.
     Unavailable,
     /// Any other status.
     OtherStatus,
     /// No connection or no answer in time.
     TimedOut,
-    /// The connection was refused, or nothing leads there.
+    /// The connection was refused, or the address is unreachable.
     NotConnected,
-    /// The connection was reset, closed, or brought what is no answer.
+    /// The connection was reset or closed, or delivered an invalid answer.
     Broken,
 }
 
-/// Every way for a call to end, with its name in the report, in the order of the enum.
+/// All outcomes with their names in logs and metrics, in the order of the enum.
 const OUTCOMES: [(Outcome, &str); 6] = [
     (Outcome::Answered, "answered"),
     (Outcome::Unavailable, "unavailable"),
@@ -38,45 +37,45 @@
 ];
 
 impl Outcome {
-    /// Its name in log and figures.
+    /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         OUTCOMES[self as usize].1
     }
 }
 
-/// What one process has heard of discovery.
+/// Counts and times of one process's contact with discovery.
 pub struct DiscoveryHealth {
-    /// When a watch last brought anything; the start where none ever did.
-    heard_at: Cell<Instant>,
+    /// When data was last received on a watch; initially the start time.
+    last_activity: Cell<Instant>,
     calls: [Cell<u64>; OUTCOMES.len()],
 }
 
 impl DiscoveryHealth {
-    /// Nothing heard yet.
+    /// Starts with no calls counted and the current time as the last activity.
     pub fn new() -> Rc<Self> {
-        Rc::new(DiscoveryHealth { heard_at: Cell::new(Instant::now()), calls: Default::default() })
+        Rc::new(DiscoveryHealth { last_activity: Cell::new(Instant::now()), calls: Default::default() })
     }
 
-    /// A watch has brought something, be it an empty line.
-    pub fn heard(&self) {
-        self.heard_at.set(Instant::now());
+    /// Records that a watch received data; an empty line counts too.
+    pub fn record_activity(&self) {
+        self.last_activity.set(Instant::now());
     }
 
-    /// For how long no watch has brought anything.
-    pub fn unheard(&self) -> Duration {
-        self.heard_at.get().elapsed()
+    /// How long no watch has received any data.
+    pub fn idle_time(&self) -> Duration {
+        self.last_activity.get().elapsed()
     }
 
-    /// A call has ended.
-    pub fn called(&self, outcome: Outcome) {
+    /// Counts a call that ended.
+    pub fn record_call(&self, outcome: Outcome) {
         let count = &self.calls[outcome as usize];
         count.set(count.get() + 1);
     }
 
-    /// Adds its figures.
+    /// Adds these metrics to a registry.
     pub fn register(&self, registry: &mut Registry) {
         let discovery = registry.sub_registry_with_prefix("discovery");
-        let age = ConstGauge::new(self.unheard().as_secs_f64());
+        let age = ConstGauge::new(self.idle_time().as_secs_f64());
         let help = "Since a watch last brought anything, or since the start";
         discovery.register_with_unit("age", help, Unit::Seconds, age);
         let calls = Family::<Vec<(&'static str, &'static str)>, Counter>::default();
