--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -122,7 +122,7 @@
     /// The cached endpoint list to start from, as an update.
     pub fn cached(&self, list: List) -> ListUpdate {
         self.rev.set(list.rev);
-        let mut update = self.translator.news(list);
+        let mut update = self.translator.translate(list);
         if let Membership::Full(entries) | Membership::Delta(entries) = update.membership {
             update.membership = Membership::Cached(entries);
         }
@@ -328,7 +328,7 @@
         }
         self.rev.set(list.rev);
         info!(rev = list.rev, entries = list.targets.len(), "list: told by the address before");
-        let mut update = self.translator.news(list);
+        let mut update = self.translator.translate(list);
         update.membership = match update.membership {
             Membership::Full(entries) => Membership::FromPreviousAddress { whole: true, entries },
             Membership::Delta(entries) => Membership::FromPreviousAddress { whole: false, entries },
@@ -373,7 +373,7 @@
             let sort = if list.all { "whole list" } else { "changes" };
             info!(rev = list.rev, entries = list.targets.len(), "list: {sort}");
         }
-        let mut update = self.translator.news(list);
+        let mut update = self.translator.translate(list);
         if !confirmed {
             info!(rev = self.rev.get(), "list: not newer at discovery's new address, not confirmed yet");
             update.membership = match update.membership {
--- a/src/net/list_translator.rs
+++ b/src/net/list_translator.rs
@@ -1,4 +1,4 @@
-//! Lists as discovery words them, in the module's terms.
+//! Translates endpoint lists from discovery's format into the policy's types.
 
 use super::clock::Clock;
 use super::start_times::StartTimes;
@@ -11,27 +11,27 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An update of the list in the module's terms, and where the endpoints are.
+/// An update of the endpoint list in the policy's types, with the addresses of the endpoints.
 pub struct ListUpdate {
-    /// For the module.
+    /// For the policy.
     pub membership: Membership,
-    /// Addresses of those named.
+    /// Addresses of the endpoints in the update.
     pub addresses: Vec<(EndpointId, SocketAddr)>,
 }
 
 impl ListUpdate {
-    /// An update that names no endpoint's address.
+    /// An update without addresses.
     pub fn of(membership: Membership) -> Self {
         ListUpdate { membership, addresses: Vec::new() }
     }
 
-    /// The list is current as it is.
+    /// States that the list is current as it is.
     pub fn unchanged() -> Self {
         ListUpdate::of(Membership::Delta(Vec::new()))
     }
 }
 
-/// Gives endpoints their ids, and lists their meaning.
+/// Assigns ids to endpoints and translates lists.
 pub struct ListTranslator {
     names: Names,
     clock: Clock,
@@ -40,7 +40,7 @@
 }
 
 impl ListTranslator {
-    /// One that knows the names of zones and kinds, and no endpoint yet.
+    /// A translator with the configured names of zones and kinds, and no endpoints yet.
     pub fn new(names: Names, clock: Clock) -> Self {
         ListTranslator { names, clock, ids: RefCell::default(), starts: RefCell::default() }
     }
@@ -50,23 +50,23 @@
         self.ids.borrow().name(id).to_owned()
     }
 
-    /// The id of a uid, known or not.
+    /// The id of a uid; a new one is assigned to an unknown uid.
     pub fn id(&self, uid: &str) -> EndpointId {
         self.ids.borrow_mut().id(uid)
     }
 
-    /// A list in the module's terms. Of an endpoint named twice the last word counts.
-    pub fn news(&self, list: List) -> ListUpdate {
+    /// Translates a list. If it names an endpoint twice, the last entry counts.
+    pub fn translate(&self, list: List) -> ListUpdate {
         let (mut entries, mut addresses, mut seen) = (Vec::new(), Vec::new(), HashSet::new());
         let (mut starts, now) = (self.starts.borrow_mut(), self.clock.now());
-        starts.take(list.targets.iter().map(|target| target.boot_ms as u64), now);
+        starts.observe(list.targets.iter().map(|target| target.boot_ms as u64), now);
         for target in list.targets.into_iter().rev() {
             let id = self.id(&target.uid);
             if !seen.insert(id) {
                 continue;
             }
             addresses.push((id, target.endpoint));
-            let started = starts.started(id, target.boot_ms as u64, now);
+            let started = starts.started_at(id, target.boot_ms as u64, now);
             entries.push(self.entry(id, started, &target));
         }
         entries.reverse();
@@ -80,8 +80,8 @@
     fn entry(&self, id: EndpointId, started: Option<Duration>, target: &Target) -> EndpointInfo {
         EndpointInfo {
             id,
-            zone: ZoneId(place(&self.names.areas, &target.az)),
-            kind: KindId(place(&self.names.kinds, &target.model)),
+            zone: ZoneId(index_of(&self.names.areas, &target.az)),
+            kind: KindId(index_of(&self.names.kinds, &target.model)),
             cell: CellId(target.pod_group),
             state: match target.state {
                 State::Up => EndpointState::Ready,
@@ -94,7 +94,7 @@
     }
 }
 
-/// A name's place among those of the settings; the one behind the last where it is not among them.
-fn place(names: &[String], name: &str) -> u32 {
+/// The index of a name among the configured ones; an unknown name gets the index after the last.
+fn index_of(names: &[String], name: &str) -> u32 {
     names.iter().position(|known| known == name).unwrap_or(names.len()) as u32
 }
