--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,14 +1,16 @@
-//! The sidecar on its sockets. Start-up, signals and the parts' acquaintance are here; the rest, from
-//! plain types up, each knowing only what stands before it:
+//! The sidecar's I/O. This file has start-up, signals and the wiring of the modules; the modules, in an
+//! order in which each depends only on those before it:
 //!
 //! `guard`, `clock`, `start_times`, `list_translator`, `budget`, `persistence`, `discovery_health`, `discovery_call`,
-//! `peers`, `counters`, `manual_ejections`, `hot_restart`: tasks, time, lists in the policy's terms, sockets held, what is kept, what
-//! comes of discovery, calls at it, the fleet, counts, orders, other processes of this sidecar;
-//! `progress`, `passing`: how far an attempt is, bodies that pass through;
+//! `peers`, `counters`, `manual_ejections`, `hot_restart`: tasks, time, lists in the policy's types, limits on sockets
+//! and memory, persisted state, metrics of discovery, calls to it, the fleet, counters, suspended
+//! endpoints, other processes of this sidecar;
+//! `progress`, `passing`: progress of an attempt, streamed bodies;
 //! `outbound`, `discovery`: connections to endpoints and to discovery;
-//! `log_text`, `message`, `open`, `driver`: turns what happens there into the policy's events, and carries out its actions;
-//! `phase`, `stream`, `request`, `turn`, `reply`, `inbound`: how far this process is, clients' words, connections and answers;
-//! `control`: the operators' door.
+//! `log_text`, `message`, `open`, `driver`: turn I/O into the policy's events, and carry out its actions;
+//! `phase`, `stream`, `request`, `turn`, `reply`, `inbound`: phase of this process, client connections, requests and
+//! answers;
+//! `control`: the admin API.
 
 mod budget;
 mod clock;
@@ -70,28 +72,30 @@
 use tokio::time::{Instant, sleep, timeout};
 use tracing::{error, info, warn};
 
-/// How often other processes of this sidecar are looked for.
-const LOOK: Duration = Duration::from_millis(100);
-/// A new process takes clients once it may send by the endpoint list, and not later than this: it has 6 s to say that
-/// it is ready.
+/// Interval between checks for other processes of this sidecar.
+const PROCESS_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// A new process accepts clients once it holds a lease on the endpoint list, and after this at the latest:
+/// it has to be ready within 6 s.
 const LIST_WAIT: Duration = Duration::from_secs(5);
-/// How often and how long after each other a faulty file is looked at: it may just be being written.
-const RELOAD_LOOKS: u32 = 5;
-const RELOAD_LOOK: Duration = Duration::from_millis(100);
-/// An address in use is tried again for so long, and this often.
-const BIND_PATIENCE: Duration = Duration::from_secs(1);
-const BIND_LOOK: Duration = Duration::from_millis(5);
-/// A process joins its fleet when its start is durable, or after this without it: a disk that hangs, or that an older
-/// process still has, must not keep it out.
+/// Number of attempts to read a faulty configuration file, and the delay between them: it may be half
+/// written.
+const RELOAD_ATTEMPTS: u32 = 5;
+const RELOAD_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How long binding to an address in use is retried, and the delay between tries.
+const BIND_RETRY_FOR: Duration = Duration::from_secs(1);
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// A process joins its fleet once its incarnation is durable, or after this without one: neither a hanging
+/// disk nor a predecessor that still has the folder locked may keep it out.
 const DISK_WAIT: Duration = Duration::from_secs(5);
-/// A process that ends before it took any client stays for so long, for its fleet to hear that it leaves.
-const LEAVING: Duration = Duration::from_millis(50);
-/// Connections that may wait to be accepted; the system may allow fewer.
+/// A process that ends before it accepted any client stays for this long, so that its fleet receives its
+/// leave message.
+const LEAVE_WAIT: Duration = Duration::from_millis(50);
+/// Length of the accept queue; the system may allow less.
 const BACKLOG: u32 = 1024;
 
-/// Serves until SIGTERM and drains, on a `LocalSet`. At SIGHUP the configuration's file is read again.
+/// Serves until SIGTERM and drains, on a `LocalSet`. On SIGHUP the configuration file is read again.
 pub async fn run(config: Config, file: PathBuf, log: LogHandle) -> Result<(), String> {
-    let reload = Reload { file, held: config.entries(), log: log.clone() };
+    let reload = Reload { file, in_force: config.entries(), log: log.clone() };
     let Config {
         name,
         listen,
@@ -115,16 +119,17 @@
     let sockets = sockets - control.map_or(0, |_| DOOR_RESERVE);
     let budget = Budget::new(sockets, memory_mb);
     let (inbox, inputs) = mpsc::unbounded_channel();
-    let (calls, asked) = mpsc::unbounded_channel();
+    let (commands, received_commands) = mpsc::unbounded_channel();
     let listed = |named: &[Named]| named.iter().map(|n| n.name.clone()).collect::<Vec<_>>();
     let (classes, tenants) = (listed(&names.classes), listed(&names.tenants));
-    let (to_log, disk) = crossbeam_channel::bounded(gullpulley::fleet::host::DISK_DEPTH);
-    let agrees = fleet.as_ref().is_some_and(|fleet| !fleet.voters.is_empty());
+    let (disk_events, disk) = crossbeam_channel::bounded(gullpulley::fleet::host::DISK_DEPTH);
+    let has_voters = fleet.as_ref().is_some_and(|fleet| !fleet.voters.is_empty());
     let persistence = match state {
         Some(folder) => {
-            let (persistence, said) = Persistence::open(folder, &name, agrees.then_some(to_log))
-                .map_err(|e| format!("state: {e}"))?;
-            spawn_local(persistence.clone().follow(said));
+            let (persistence, statements) =
+                Persistence::open(folder, &name, has_voters.then_some(disk_events))
+                    .map_err(|e| format!("state: {e}"))?;
+            spawn_local(persistence.clone().follow(statements));
             Some(persistence)
         }
         None => None,
@@ -143,7 +148,7 @@
         spawn_local(peers.clone().follow(move |living| drop(inbox.send(Input::Balancers(living)))));
         let (peers, persistence) = (peers.clone(), persistence.clone());
         spawn_local(async move {
-            // Nothing is said of a start before it is durable.
+            // An incarnation is not announced before it is durable.
             let start = match &persistence {
                 Some(persistence) => persistence.start(DISK_WAIT).await,
                 None => None,
@@ -162,35 +167,35 @@
         outbound.clone(),
         inbox.clone(),
     );
-    let news = inbox.clone();
-    let discovery = Discovery::new(discovery, &settings, names, seed, health, clock, move |said| {
-        let _ = news.send(Input::List(said)); // fails only while the process ends
+    let updates = inbox.clone();
+    let discovery = Discovery::new(discovery, &settings, names, seed, health, clock, move |update| {
+        let _ = updates.send(Input::List(update)); // fails only while the process ends
     });
     let ejections = ManualEjectionStore::new(&std::env::temp_dir(), &name);
     if control.is_some() {
-        // Before the first list, so before the first send.
-        let _ = inbox.send(Input::Standing(standing(&ejections), oneshot::channel().0));
+        // Before the first list, hence before the first attempt.
+        let _ = inbox.send(Input::Standing(read_ejections(&ejections), oneshot::channel().0));
     }
-    let sharing = control.and_then(|_| join(&name)).map(|registration| Sharing {
+    let sharing = control.and_then(|_| register_process(&name)).map(|registration| ProcessSharing {
         registration,
         budget,
         inbound: inbound.clone(),
         outbound: outbound.clone(),
         inbox: inbox.clone(),
     });
-    // Before the list: beside an older process this one does not wait for its turn at discovery.
+    // Before the list: beside a predecessor this process does not spread its first call to discovery.
     if let Some(sharing) = &sharing {
-        sharing.look();
+        sharing.refresh();
     }
-    // The list as last held is there before the first client.
+    // The cached list is applied before the first client is accepted.
     let _ = inbox.send(Input::List(discovery.cached(known)));
     let attempts = settings.limits.max_attempts;
     let (rules, discovery_mode) = (settings.rules.clone(), settings.discovery);
-    spawn_local(reload.follow(hup, calls.clone()));
+    spawn_local(reload.run(hup, commands.clone()));
     let around = Around {
         outbound: outbound.clone(),
         discovery: discovery.clone(),
-        calls,
+        calls: commands,
         inbox: inbox.clone(),
         counters: counters.clone(),
         list_holds: watch::Sender::new(false),
@@ -198,81 +203,82 @@
     let mut list_holds = around.list_holds.subscribe();
     let driver = Driver::new(balancer, clock, attempts, around);
     let mut driver = spawn_local(driver.run(inputs));
-    spawn_local(discovery.clone().run(asked));
+    spawn_local(discovery.clone().run(received_commands));
     spawn_local(outbound.clone().sweep());
-    let getting_ready = async {
-        // Others serve meanwhile: the list known at its start may be old.
+    let startup = async {
+        // The predecessor or other sidecars serve meanwhile: the cached list may be stale.
         if timeout(LIST_WAIT, list_holds.wait_for(|holds| *holds)).await.is_err() {
-            warn!("no list in {LIST_WAIT:?}: requests are held until discovery tells one");
+            warn!("no endpoint list in {LIST_WAIT:?}: requests are queued until discovery tells one");
         }
         if let Some(sharing) = sharing {
-            spawn_local(sharing.keep_up());
+            spawn_local(sharing.run());
         }
-        let door = match control {
+        let api_listener = match control {
             Some(control) => {
-                let bind = patiently(|| listen_at(control, false));
+                let bind = bind_with_retry(|| listen_at(control, false));
                 Some((control, bind.await.map_err(|e| format!("control: {control}: {e}"))?))
             }
             None => None,
         };
-        // Last: from here on clients may wait in the backlog.
-        let bind = patiently(|| listen_at(listen, control.is_some()));
+        // Last, as clients may connect from here on.
+        let bind = bind_with_retry(|| listen_at(listen, control.is_some()));
         let listener = bind.await.map_err(|e| format!("listen: {listen}: {e}"))?;
-        Ok::<_, String>((door, listener))
+        Ok::<_, String>((api_listener, listener))
     };
     let ready = tokio::select! {
         biased;
         _ = term.recv() => None,
-        ready = getting_ready => Some(ready?),
+        ready = startup => Some(ready?),
     };
-    // Its time until it is killed runs already: whom it took now it might not answer.
-    let Some((door, listener)) = ready else {
-        info!("told to end before it took any client");
+    // SIGTERM has come already, and SIGKILL may follow before a client accepted now would be answered.
+    let Some((api_listener, listener)) = ready else {
+        info!("stopping before any client was accepted");
         if let Some(peers) = &peers {
             peers.leave();
-            sleep(LEAVING).await;
+            sleep(LEAVE_WAIT).await;
         }
         return Ok(());
     };
-    if let Some((control, door)) = door {
-        info!(sidecar = name, %control, "the operators' door is open");
-        let behind = AdminApi::new(ejections, counters, inbound.clone(), inbox);
-        // Orders given to an older process since this one began hold from the first client on.
-        let followed = behind.look(Followed::InForce(None)).await;
-        spawn_local(behind.clone().follow(followed));
-        spawn_local(behind.serve(door));
+    if let Some((control, api_listener)) = api_listener {
+        info!(sidecar = name, %control, "admin API is listening");
+        let api = AdminApi::new(ejections, counters, inbound.clone(), inbox);
+        // Orders given to the predecessor since this process started are in force before the first client.
+        let followed = api.look(Followed::InForce(None)).await;
+        spawn_local(api.clone().follow(followed));
+        spawn_local(api.serve(api_listener));
     }
     info!(sidecar = name, %listen, version = env!("CARGO_PKG_VERSION"), "serving");
     let ask_within_ms = rules.ask_within.as_millis() as u64;
     let drain_grace_ms = rules.drain_grace.as_millis() as u64;
-    info!(?discovery_mode, ask_within_ms, drain_grace_ms, "the terms of the endpoint list");
+    info!(?discovery_mode, ask_within_ms, drain_grace_ms, "endpoint list settings");
     tokio::select! {
         () = inbound.serve(listener, term, || peers.iter().for_each(|peers| peers.leave())) => Ok(()),
-        ended = &mut driver => Err(format!("the driver ended: {ended:?}")),
+        ended = &mut driver => Err(format!("the driver task ended: {ended:?}")),
     }
 }
 
-/// Whether a bind may succeed a moment later: a process that was killed holds its address until the last of its threads
-/// has ended, and its successor may be there before; or the machine lacks descriptors or memory for a moment.
-fn is_passing(error: &io::Error) -> bool {
+/// Whether binding may succeed a moment later: a killed process holds its address until its last thread has
+/// ended, and its successor may start before that; or the machine is temporarily out of descriptors or
+/// memory.
+fn is_transient(error: &io::Error) -> bool {
     let kind = error.kind();
     kind == io::ErrorKind::AddrInUse || kind != io::ErrorKind::AddrNotAvailable && is_local(error)
 }
 
-/// Binds, and tries again for a while where that may help.
-async fn patiently(bind: impl Fn() -> io::Result<TcpListener>) -> io::Result<TcpListener> {
-    let until = Instant::now() + BIND_PATIENCE;
+/// Binds, and retries for up to [`BIND_RETRY_FOR`] after a transient error.
+async fn bind_with_retry(bind: impl Fn() -> io::Result<TcpListener>) -> io::Result<TcpListener> {
+    let until = Instant::now() + BIND_RETRY_FOR;
     loop {
         match bind() {
-            Err(e) if is_passing(&e) && Instant::now() < until => {
-                sleep(BIND_LOOK).await;
+            Err(e) if is_transient(&e) && Instant::now() < until => {
+                sleep(BIND_RETRY_DELAY).await;
             }
             bound => return bound,
         }
     }
 }
 
-/// Listens for clients; shared, another process of this sidecar may do so at the same address.
+/// Opens a listening socket; if `shared`, another process of this sidecar may listen at the same address.
 fn listen_at(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
@@ -283,14 +289,15 @@
     socket.listen(BACKLOG)
 }
 
-/// Makes this process known to others of the same sidecar. Where that fails it serves as if alone.
-fn join(name: &str) -> Option<ProcessRegistration> {
+/// Registers this process with the others of the same sidecar. If that fails, it serves as if it were
+/// alone.
+fn register_process(name: &str) -> Option<ProcessRegistration> {
     let joined = ProcessRegistration::register(&std::env::temp_dir(), name);
-    joined.inspect_err(|e| warn!("$TMPDIR: {e}; other processes of this sidecar go unseen")).ok()
+    joined.inspect_err(|e| warn!("$TMPDIR: {e}; other processes of this sidecar are not detected")).ok()
 }
 
-/// Parts with other processes of this sidecar what it may hold.
-struct Sharing {
+/// Divides the limits on sockets and memory among the processes of this sidecar.
+struct ProcessSharing {
     registration: ProcessRegistration,
     budget: Rc<Budget>,
     inbound: Rc<Inbound>,
@@ -298,9 +305,9 @@
     inbox: Inbox,
 }
 
-impl Sharing {
-    /// Looks for others, and parts with them; how many there are.
-    fn look(&self) -> usize {
+impl ProcessSharing {
+    /// Counts the other processes and adjusts this one's share; returns the count.
+    fn refresh(&self) -> usize {
         let others = self.registration.count_others();
         if self.budget.share(others + 1) {
             let _ = self.inbox.send(Input::Shared(others + 1));
@@ -309,37 +316,37 @@
         others
     }
 
-    async fn keep_up(self) {
+    async fn run(self) {
         loop {
-            sleep(LOOK).await;
-            self.inbound.succeeded(self.look() > 0);
+            sleep(PROCESS_CHECK_INTERVAL).await;
+            self.inbound.succeeded(self.refresh() > 0);
         }
     }
 }
 
-/// What the operators had said of endpoints before this process began.
-fn standing(ejections: &ManualEjectionStore) -> ManualEjections {
+/// The manual ejections in force when this process starts.
+fn read_ejections(ejections: &ManualEjectionStore) -> ManualEjections {
     ejections.read().unwrap_or_else(|problem| {
-        error!("suspended endpoints: {problem}; none is taken out");
+        error!("suspended endpoints: {problem}; none is suspended");
         ManualEjections::default()
     })
 }
 
-/// What a SIGHUP changes.
+/// Reloads the configuration on SIGHUP.
 struct Reload {
     file: PathBuf,
-    /// What is in force, as a configuration's entries.
-    held: Vec<(String, String)>,
+    /// The entries of the configuration in force.
+    in_force: Vec<(String, String)>,
     log: LogHandle,
 }
 
 impl Reload {
-    /// At each SIGHUP reads the configuration again: what can change does, what can't is said, and a faulty file
-    /// changes nothing.
-    async fn follow(mut self, mut hup: Signal, calls: mpsc::UnboundedSender<DiscoveryCommand>) {
+    /// Reads the configuration again at each SIGHUP: applies the settings that can change at run time, logs
+    /// the others, and ignores a faulty file.
+    async fn run(mut self, mut hup: Signal, commands: mpsc::UnboundedSender<DiscoveryCommand>) {
         while hup.recv().await.is_some() {
             match self.read().await {
-                Ok(config) => self.apply(config, &calls),
+                Ok(config) => self.apply(config, &commands),
                 Err(faults) => {
                     for fault in faults.0 {
                         error!("SIGHUP: {fault}; the configuration stays as it was");
@@ -349,24 +356,24 @@
         }
     }
 
-    /// Reads the file; a faulty one may be half written, and is looked at again before that is said.
+    /// Reads the file; a faulty one may be half written, and is read again before the fault is reported.
     async fn read(&self) -> Result<Config, ConfigError> {
-        let mut looks = 0;
+        let mut attempts_made = 0;
         loop {
             let file = self.file.clone();
-            // A slow disk must not hold up requests.
+            // A slow disk must not delay requests.
             let read = spawn_blocking(move || Config::load(&file, &Vars::of_process().after_the_start()));
             let read = read.await.unwrap_or_else(|e| Err(Fault::new("", "", e, "").into()));
-            looks += 1;
-            if read.is_ok() || looks == RELOAD_LOOKS {
+            attempts_made += 1;
+            if read.is_ok() || attempts_made == RELOAD_ATTEMPTS {
                 return read;
             }
-            sleep(RELOAD_LOOK).await;
+            sleep(RELOAD_RETRY_DELAY).await;
         }
     }
 
-    fn apply(&mut self, config: Config, calls: &mpsc::UnboundedSender<DiscoveryCommand>) {
-        for Difference { key, before, after } in differences(&self.held, &config.entries()) {
+    fn apply(&mut self, config: Config, commands: &mpsc::UnboundedSender<DiscoveryCommand>) {
+        for Difference { key, before, after } in differences(&self.in_force, &config.entries()) {
             let [before, after] = [&before, &after].map(|value| value.as_deref().unwrap_or("unsaid"));
             if keys::LIVE.contains(&key.as_str()) {
                 if key == "log.level"
@@ -375,14 +382,14 @@
                     error!("SIGHUP: {problem}");
                 }
                 info!("SIGHUP: {key} is {after}, it was {before}");
-                self.held
+                self.in_force
                     .iter_mut()
-                    .filter(|(held, _)| *held == key)
+                    .filter(|(held_key, _)| *held_key == key)
                     .for_each(|(_, value)| *value = after.to_owned());
             } else {
                 warn!("SIGHUP: {key} stays {before}; {after} holds from the next start");
             }
         }
-        let _ = calls.send(DiscoveryCommand::Move(config.discovery)); // fails only while the process ends
+        let _ = commands.send(DiscoveryCommand::Move(config.discovery)); // fails only while the process ends
     }
 }
