--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -1,4 +1,5 @@
-//! The operators' door: readiness, figures, and taking endpoints out and back. One call to a connection.
+//! The admin API: readiness, metrics, drain, and suspending and resuming endpoints. One call per
+//! connection.
 
 use super::counters::Counters;
 use super::guard::Guard;
@@ -25,54 +26,56 @@
 use tokio::time::{sleep, timeout};
 use tracing::{error, info};
 
-/// A call must have come whole within this of its connection.
-const CALL_MOST: Duration = Duration::from_secs(2);
-/// A connection is over within this: who does not read its answer must not keep a place.
-const TALK_MOST: Duration = Duration::from_secs(5);
-/// The body of a call says nothing, and is no longer than this.
-const BODY_MOST: usize = 16 * 1024;
-/// Buffer of a connection; also bounds a call's head.
-const BUFFER_MOST: usize = 16 * 1024;
-/// How often what other processes of this sidecar were ordered is looked up.
-const FOLLOW: Duration = Duration::from_millis(50);
-/// Wait after a failed accept.
+/// Time-out for receiving a call, from when its connection is accepted.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum lifetime of a connection: a caller that does not read its answer must not occupy a slot.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum length in bytes of a call's body, which is ignored.
+const MAX_BODY: usize = 16 * 1024;
+/// Buffer size in bytes of a connection; also limits a call's head.
+const BUFFER_SIZE: usize = 16 * 1024;
+/// Interval between checks for orders given to other processes of this sidecar.
+const ORDER_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Delay after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// The type of OpenMetrics text.
+/// The content type of OpenMetrics text.
 const OPEN_METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// What the door needs of the rest of the sidecar.
+/// The admin API of one process.
 pub struct AdminApi {
     ejections: ManualEjectionStore,
     counters: Rc<Counters>,
     inbound: Rc<Inbound>,
     inbox: Inbox,
-    /// Orders are carried out one after another.
-    ordering: Mutex<()>,
-    callers: RefCell<VecDeque<Caller>>,
+    /// Serializes orders.
+    order_lock: Mutex<()>,
+    connections: RefCell<VecDeque<Connection>>,
 }
 
-/// How far a process has followed the file of orders; none is the version of a file that is not there.
+/// Which version of the file of manual ejections a process has handled; the version is none while there is
+/// no file.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Followed {
+pub enum HandledVersion {
     /// This version is in force.
     InForce(Option<Version>),
-    /// This version could not be read when last looked at, which the log says once: it is looked at again until it can be.
+    /// This version could not be read at the last check, which is logged once; reading is retried until it
+    /// succeeds.
     Unread(Option<Version>),
 }
 
-struct Caller {
-    /// Its call has come whole.
-    asked: Rc<Cell<bool>>,
-    over: Rc<Cell<bool>>,
-    /// Dropping it ends the connection.
-    _talk: Guard,
+struct Connection {
+    /// Its call has been received completely.
+    received: Rc<Cell<bool>>,
+    closed: Rc<Cell<bool>>,
+    /// Dropping it closes the connection.
+    _task: Guard,
 }
 
 type Reply = Response<Full<Bytes>>;
 
-/// What a path stands for.
-enum Place<'a> {
+/// The resource that a path names.
+enum Resource<'a> {
     Ready,
     Metrics,
     Fleet,
@@ -80,74 +83,75 @@
     Endpoint(&'a str, Order),
 }
 
-impl<'a> Place<'a> {
+impl<'a> Resource<'a> {
     fn of(path: &'a str) -> Option<Self> {
         let mut parts = path.strip_prefix("/v1/")?.split('/');
-        let place = match (parts.next()?, parts.next(), parts.next()) {
-            ("readyz", None, None) => Place::Ready,
-            ("metrics", None, None) => Place::Metrics,
-            ("fleet", None, None) => Place::Fleet,
-            ("drain", None, None) => Place::Drain,
-            ("endpoints", Some(uid), Some("suspend")) => Place::Endpoint(uid, Order::Suspend),
-            ("endpoints", Some(uid), Some("resume")) => Place::Endpoint(uid, Order::Resume),
+        let resource = match (parts.next()?, parts.next(), parts.next()) {
+            ("readyz", None, None) => Resource::Ready,
+            ("metrics", None, None) => Resource::Metrics,
+            ("fleet", None, None) => Resource::Fleet,
+            ("drain", None, None) => Resource::Drain,
+            ("endpoints", Some(uid), Some("suspend")) => Resource::Endpoint(uid, Order::Suspend),
+            ("endpoints", Some(uid), Some("resume")) => Resource::Endpoint(uid, Order::Resume),
             _ => return None,
         };
-        parts.next().is_none().then_some(place)
+        parts.next().is_none().then_some(resource)
     }
 
     fn method(&self) -> Method {
         match self {
-            Place::Ready | Place::Metrics | Place::Fleet => Method::GET,
-            Place::Drain | Place::Endpoint(..) => Method::POST,
+            Resource::Ready | Resource::Metrics | Resource::Fleet => Method::GET,
+            Resource::Drain | Resource::Endpoint(..) => Method::POST,
         }
     }
 }
 
 impl AdminApi {
-    /// A door onto these.
+    /// Creates the admin API on these parts of the sidecar.
     pub fn new(
         ejections: ManualEjectionStore,
         counters: Rc<Counters>,
         inbound: Rc<Inbound>,
         inbox: Inbox,
     ) -> Rc<Self> {
-        let (ordering, callers) = Default::default();
-        Rc::new(AdminApi { ejections, counters, inbound, inbox, ordering, callers })
+        let (order_lock, connections) = Default::default();
+        Rc::new(AdminApi { ejections, counters, inbound, inbox, order_lock, connections })
     }
 
-    /// Takes calls for as long as the process lives.
+    /// Accepts calls for as long as the process lives.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => self.admit(stream),
-                Err(_) => sleep(ACCEPT_PAUSE).await, // out of descriptors, say; the clients' side logs it
+                Err(_) => sleep(ACCEPT_PAUSE).await, // out of descriptors; the clients' listener logs it
             }
         }
     }
 
-    /// Carries out what other processes of this sidecar were ordered, from here on.
-    pub async fn follow(self: Rc<Self>, mut followed: Followed) {
+    /// Applies orders given to other processes of this sidecar, starting after the version handled.
+    pub async fn follow_orders(self: Rc<Self>, mut handled: HandledVersion) {
         loop {
-            sleep(FOLLOW).await;
-            followed = self.look(followed).await;
+            sleep(ORDER_CHECK_INTERVAL).await;
+            handled = self.check_orders(handled).await;
         }
     }
 
-    /// Has the orders in force as the file says them, where they are not yet; how far that came.
-    pub async fn look(&self, followed: Followed) -> Followed {
+    /// Puts the orders in the file in force if its version is not in force yet; returns the version
+    /// handled.
+    pub async fn check_orders(&self, handled: HandledVersion) -> HandledVersion {
         let version = self.ejections.version();
-        if followed == Followed::InForce(version) {
-            return followed;
+        if handled == HandledVersion::InForce(version) {
+            return handled;
         }
-        let _turn = self.ordering.lock().await;
+        let _lock = self.order_lock.lock().await;
         match self.ejections.read() {
-            Ok(standing) => {
-                self.enforce(standing).await;
-                Followed::InForce(version)
+            Ok(updated) => {
+                self.apply(updated).await;
+                HandledVersion::InForce(version)
             }
             Err(problem) => {
-                let unread = Followed::Unread(version);
-                if followed != unread {
+                let unread = HandledVersion::Unread(version);
+                if handled != unread {
                     error!("suspended endpoints: {problem}; what is in force stays");
                 }
                 unread
@@ -155,43 +159,43 @@
         }
     }
 
-    /// Makes room where it is wanted, at the cost of the caller that has been silent longest.
+    /// Accepts a connection; at the limit it closes the oldest one whose call has not been received yet.
     fn admit(self: &Rc<Self>, stream: TcpStream) {
-        let mut callers = self.callers.borrow_mut();
-        callers.retain(|caller| !caller.over.get());
-        if callers.len() >= DOOR_MOST {
-            match callers.iter().position(|caller| !caller.asked.get()) {
-                Some(silent) => drop(callers.remove(silent)),
-                None => return, // all are being answered
+        let mut connections = self.connections.borrow_mut();
+        connections.retain(|connection| !connection.closed.get());
+        if connections.len() >= DOOR_MOST {
+            match connections.iter().position(|connection| !connection.received.get()) {
+                Some(unanswered) => drop(connections.remove(unanswered)),
+                None => return, // all calls are being answered
             }
         }
-        let (asked, over) = <(Rc<Cell<bool>>, Rc<Cell<bool>>)>::default();
-        let (this, flags) = (self.clone(), (asked.clone(), over.clone()));
-        let talk = spawn_local(async move {
-            let _ = timeout(TALK_MOST, this.talk(stream, &flags.0)).await;
+        let (received, closed) = <(Rc<Cell<bool>>, Rc<Cell<bool>>)>::default();
+        let (this, flags) = (self.clone(), (received.clone(), closed.clone()));
+        let task = spawn_local(async move {
+            let _ = timeout(CONNECTION_TIMEOUT, this.handle_connection(stream, &flags.0)).await;
             flags.1.set(true);
         });
-        callers.push_back(Caller { asked, over, _talk: Guard::new(talk.abort_handle()) });
+        connections.push_back(Connection { received, closed, _task: Guard::new(task.abort_handle()) });
     }
 
-    async fn talk(&self, stream: TcpStream, asked: &Cell<bool>) {
-        let service = service_fn(|request| self.answer(request, asked));
+    async fn handle_connection(&self, stream: TcpStream, received: &Cell<bool>) {
+        let service = service_fn(|request| self.answer(request, received));
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(CALL_MOST)
+            .header_read_timeout(CALL_TIMEOUT)
             .keep_alive(false)
-            .max_buf_size(BUFFER_MOST)
+            .max_buf_size(BUFFER_SIZE)
             .serve_connection(TokioIo::new(TcpConnection::new(stream)), service);
         let _ = connection.await; // an error here is the caller's
     }
 
-    async fn answer(&self, request: Request<Incoming>, asked: &Cell<bool>) -> Result<Reply, Infallible> {
+    async fn answer(&self, request: Request<Incoming>, received: &Cell<bool>) -> Result<Reply, Infallible> {
         let (head, body) = request.into_parts();
-        // A call that breaks off is none: it must not be carried out.
-        let reply = match timeout(CALL_MOST, Limited::new(body, BODY_MOST).collect()).await {
+        // A truncated call must not be carried out.
+        let reply = match timeout(CALL_TIMEOUT, Limited::new(body, MAX_BODY).collect()).await {
             Ok(Ok(_)) => {
-                asked.set(true);
-                self.call(&head.method, &head.uri).await
+                received.set(true);
+                self.dispatch(&head.method, &head.uri).await
             }
             Ok(Err(_)) => text(StatusCode::BAD_REQUEST, "the body is broken or too long\n"),
             Err(_) => text(StatusCode::REQUEST_TIMEOUT, "the body never came\n"),
@@ -199,38 +203,38 @@
         Ok(reply)
     }
 
-    async fn call(&self, method: &Method, uri: &Uri) -> Reply {
-        let Some(place) = Place::of(uri.path()) else {
+    async fn dispatch(&self, method: &Method, uri: &Uri) -> Reply {
+        let Some(resource) = Resource::of(uri.path()) else {
             return text(StatusCode::NOT_FOUND, "no such path\n");
         };
-        if *method != place.method() {
+        if *method != resource.method() {
             let mut reply = text(StatusCode::METHOD_NOT_ALLOWED, "not this path's method\n");
-            let allowed = if place.method() == Method::GET { "GET" } else { "POST" };
+            let allowed = if resource.method() == Method::GET { "GET" } else { "POST" };
             reply.headers_mut().insert(header::ALLOW, HeaderValue::from_static(allowed));
             return reply;
         }
-        match place {
-            Place::Ready if self.inbound.takes_clients() => text(StatusCode::OK, "ready\n"),
-            Place::Ready => text(StatusCode::SERVICE_UNAVAILABLE, "takes no clients\n"),
-            Place::Metrics => match self.ask(Input::Stats).await {
-                Some(stats) => self.figures(stats, uri.query()),
+        match resource {
+            Resource::Ready if self.inbound.takes_clients() => text(StatusCode::OK, "ready\n"),
+            Resource::Ready => text(StatusCode::SERVICE_UNAVAILABLE, "takes no clients\n"),
+            Resource::Metrics => match self.ask(Input::Stats).await {
+                Some(stats) => self.metrics(stats, uri.query()),
                 None => text(StatusCode::SERVICE_UNAVAILABLE, "ending\n"),
             },
-            Place::Fleet => match self.counters.fleet() {
+            Resource::Fleet => match self.counters.fleet() {
                 Some(report) => text(StatusCode::OK, report),
                 None => text(StatusCode::NOT_FOUND, "this process is in no fleet\n"),
             },
-            Place::Drain => {
-                info!("operators: drain");
+            Resource::Drain => {
+                info!("operators: drain requested");
                 self.inbound.drain();
                 text(StatusCode::OK, "draining\n")
             }
-            Place::Endpoint(uid, order) => self.order(uid, order).await,
+            Resource::Endpoint(uid, order) => self.handle_order(uid, order).await,
         }
     }
 
-    /// The figures, in the form that is asked for.
-    fn figures(&self, stats: BalancerStats, query: Option<&str>) -> Reply {
+    /// The metrics in the requested format.
+    fn metrics(&self, stats: BalancerStats, query: Option<&str>) -> Reply {
         match query.and_then(|query| query.split('&').find_map(|pair| pair.strip_prefix("format="))) {
             None => text(StatusCode::OK, self.counters.report(stats)),
             Some("openmetrics") => {
@@ -242,21 +246,21 @@
         }
     }
 
-    async fn order(&self, uid: &str, order: Order) -> Reply {
-        let _turn = self.ordering.lock().await;
+    async fn handle_order(&self, uid: &str, order: Order) -> Reply {
+        let _lock = self.order_lock.lock().await;
         if self.ask(|to| Input::Known(uid.to_owned(), to)).await != Some(true) {
             return text(StatusCode::NOT_FOUND, "no endpoint has this id\n");
         }
-        let (ejections, kept) = (self.ejections.clone(), uid.to_owned());
-        // A slow disk must not hold up requests.
-        match spawn_blocking(move || ejections.keep(&kept, order)).await {
-            Ok(Ok(standing)) => {
-                self.enforce(standing).await;
+        let (ejections, order_uid) = (self.ejections.clone(), uid.to_owned());
+        // A slow disk must not delay requests.
+        match spawn_blocking(move || ejections.keep(&order_uid, order)).await {
+            Ok(Ok(updated)) => {
+                self.apply(updated).await;
                 text(StatusCode::OK, if order == Order::Suspend { "suspended\n" } else { "in use\n" })
             }
-            Ok(Err(ManualEjectionError::NotDurable(standing, problem))) => {
-                error!(endpoint = uid, "operators: {uid}: in force, and not durable: {problem}");
-                self.enforce(standing).await;
+            Ok(Err(ManualEjectionError::NotDurable(updated, problem))) => {
+                error!(endpoint = uid, "operators: {uid}: in force, but not durable: {problem}");
+                self.apply(updated).await;
                 text(StatusCode::INTERNAL_SERVER_ERROR, "this is in force, and a power cut may lose it\n")
             }
             Ok(Err(problem)) => {
@@ -267,12 +271,12 @@
         }
     }
 
-    /// Puts a standing in force.
-    async fn enforce(&self, standing: ManualEjections) {
-        let _ = self.ask(|done| Input::Standing(standing, done)).await; // fails only while the process ends
+    /// Puts manual ejections in force.
+    async fn apply(&self, updated: ManualEjections) {
+        let _ = self.ask(|done| Input::Standing(updated, done)).await; // fails only while the process ends
     }
 
-    /// Asks the driver; none while the process ends.
+    /// Sends an input to the driver and waits for its answer; none while the process ends.
     async fn ask<T>(&self, input: impl FnOnce(oneshot::Sender<T>) -> Input) -> Option<T> {
         let (to, answer) = oneshot::channel();
         self.inbox.send(input(to)).ok()?;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -43,7 +43,7 @@
 use crate::logging::LogHandle;
 use budget::Budget;
 use clock::Clock;
-use control::{AdminApi, Followed};
+use control::{AdminApi, HandledVersion};
 use counters::Counters;
 use discovery::{Discovery, DiscoveryCommand};
 use discovery_health::DiscoveryHealth;
@@ -243,8 +243,8 @@
         info!(sidecar = name, %control, "admin API is listening");
         let api = AdminApi::new(ejections, counters, inbound.clone(), inbox);
         // Orders given to the predecessor since this process started are in force before the first client.
-        let followed = api.look(Followed::InForce(None)).await;
-        spawn_local(api.clone().follow(followed));
+        let handled = api.check_orders(HandledVersion::InForce(None)).await;
+        spawn_local(api.clone().follow_orders(handled));
         spawn_local(api.serve(api_listener));
     }
     info!(sidecar = name, %listen, version = env!("CARGO_PKG_VERSION"), "serving");
