--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -64,9 +64,9 @@
     health: Rc<DiscoveryHealth>,
     /// Pending calls that open a watch, or the one open watch.
     watches: RefCell<Vec<Watch>>,
-    /// Watches at former addresses: what discovery wrote to them before the change of address counts as
+    /// Watches at previous addresses: what discovery wrote to them before the change of address counts as
     /// known here.
-    former_address_watches: RefCell<Vec<Watch>>,
+    previous_address_watches: RefCell<Vec<Watch>>,
     next_watch_number: Cell<u64>,
     /// Timing of calls in push mode; in the other mode the policy decides.
     schedule: RefCell<DiscoverySchedule>,
@@ -107,7 +107,7 @@
             move_unconfirmed: Cell::default(),
             health,
             watches: RefCell::default(),
-            former_address_watches: RefCell::default(),
+            previous_address_watches: RefCell::default(),
             next_watch_number: Cell::default(),
             schedule,
             next_call_at: Cell::default(),
@@ -185,7 +185,7 @@
         self.move_unconfirmed.set(true);
         // The old watch closes soon. What it had still to send counts as known 4 s from now, and what it
         // has written counts at once.
-        self.former_address_watches.borrow_mut().append(&mut self.watches.borrow_mut());
+        self.previous_address_watches.borrow_mut().append(&mut self.watches.borrow_mut());
         self.send_update(ListUpdate::of(Membership::Moved));
         self.schedule.borrow_mut().moved(self.started.elapsed());
         self.plan_call(Some(Duration::ZERO));
@@ -212,8 +212,8 @@
         let task = spawn_local(async move {
             let started = Instant::now();
             let end = this.run_watch(number).await;
-            if this.is_at_former_address(number) {
-                return this.former_address_watches.borrow_mut().retain(|watch| watch.number != number);
+            if this.is_at_previous_address(number) {
+                return this.previous_address_watches.borrow_mut().retain(|watch| watch.number != number);
             }
             this.watches.borrow_mut().retain(|watch| watch.number != number);
             let failure = end.failure(started.elapsed());
@@ -277,7 +277,7 @@
                 Err(fault) => return WatchEnd::Broken(fault.to_string()),
             };
             for list in complete_lists {
-                if self.is_at_former_address(number) {
+                if self.is_at_previous_address(number) {
                     self.apply_late(list);
                     continue;
                 }
@@ -310,18 +310,18 @@
             }
             let delivered_long_enough =
                 unconfirmed_list_at.is_some_and(|since| now >= since + LISTING_DELAY);
-            if delivered_long_enough && !self.is_at_former_address(number) {
+            if delivered_long_enough && !self.is_at_previous_address(number) {
                 unconfirmed_list_at = None;
                 self.confirm();
             }
         }
     }
 
-    fn is_at_former_address(&self, number: u64) -> bool {
-        self.former_address_watches.borrow().iter().any(|watch| watch.number == number)
+    fn is_at_previous_address(&self, number: u64) -> bool {
+        self.previous_address_watches.borrow().iter().any(|watch| watch.number == number)
     }
 
-    /// Applies a list from a watch at a former address.
+    /// Applies a list from a watch at a previous address.
     fn apply_late(&self, list: List) {
         if list.rev < self.rev.get() {
             return;
@@ -389,7 +389,7 @@
     /// discovery had.
     fn confirm(&self) {
         self.move_unconfirmed.set(false);
-        self.former_address_watches.take();
+        self.previous_address_watches.take();
         self.schedule.borrow_mut().heard(self.started.elapsed());
         info!(rev = self.rev.get(), "list: confirmed at discovery's new address");
         self.send_update(ListUpdate::unchanged());
