--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,280 +1,286 @@
-//! What a balancer is told when it is made, with defaults, and what makes no sense.
+//! The settings of a balancer, their defaults and their validation.
 
 use super::ZoneId;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Everything a balancer is told when it is made.
+/// The settings of a balancer.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Balancers in this tier, this one included.
+    /// Number of balancers in this tier, this one included.
     pub balancers: u32,
-    /// This balancer's number among them.
+    /// This balancer's number among them, from 0.
     pub me: u32,
-    /// Zone this balancer runs in.
+    /// The zone that this balancer runs in.
     pub zone: ZoneId,
-    /// Zones of the deployment.
+    /// Number of zones in the deployment.
     pub zones: u32,
-    /// The tier it sends to: 0 takes the clients' requests.
+    /// The tier that this balancer sends to; tier 0 serves the clients' requests.
     pub tier: u32,
-    /// Tiers of the deployment.
+    /// Number of tiers in the deployment.
     pub tiers: u32,
     /// Request classes.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request above its tenant's share, as a fraction of the class's worth.
+    /// Value of a request that exceeds its tenant's allowance, as a fraction of the value of its class.
     pub over_share_worth: f64,
-    /// How the endpoint list reaches the balancer.
+    /// How the balancer gets the endpoint list.
     pub discovery: Discovery,
-    /// What the deployment allows.
+    /// Limits and features of the deployment.
     pub limits: Limits,
-    /// Figures of the four rules.
+    /// Parameters of the rules that every balancer must follow.
     pub rules: Rules,
-    /// What the result is made of.
+    /// How the simulator computes the score of a run.
     pub goal: Goal,
-    /// Prices.
+    /// Costs that reduce the score.
     pub costs: Costs,
-    /// What load reports hold and how they come.
+    /// Content and transport of the endpoints' load reports.
     pub load_reports: LoadReports,
-    /// What [`EndpointInfo::weight`](crate::EndpointInfo::weight) means.
+    /// The meaning of [`EndpointInfo::weight`](crate::EndpointInfo::weight).
     pub weights: WeightKind,
-    /// Least time between two rounds of events.
+    /// Least time between two batches of events: the resolution of timers.
     pub tick: Duration,
-    /// Calls to the next tier carry the caller's time left rather than the class's deadline.
+    /// Whether calls to the next tier carry the caller's remaining time rather than the deadline of the
+    /// class.
     pub passes_deadline: bool,
-    /// An endpoint that served a key of late serves it with less work.
+    /// Whether an endpoint needs less work for a key that it has recently served, as from a warm cache.
     pub warm_keys: bool,
-    /// Clients mark their repeats, see [`Request::client_retry`](crate::Request::client_retry).
+    /// Whether clients mark their retries, see [`Request::client_retry`](crate::Request::client_retry).
     pub clients_mark_retries: bool,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Answers within this time earn the full worth.
+    /// Latency objective: an answer within this time has the full value.
     pub objective: Duration,
-    /// The time a client waits in all.
+    /// How long a client waits for the answer in total.
     pub deadline: Duration,
-    /// What a repeat may do.
+    /// Whether requests of this class may be processed more than once.
     pub semantics: Semantics,
-    /// Fraction of the worth for an answer after the objective.
+    /// Value of an answer after the objective, as a fraction of the full value.
     pub late_value: f64,
-    /// The answer is streamed.
+    /// Whether answers are streamed.
     pub streamed: bool,
-    /// Worth of one request.
+    /// Value of one request.
     pub worth: f64,
-    /// The objective grows by this multiple of the request's own work, up to the deadline.
+    /// The objective is extended by this multiple of the request's own work, up to the deadline.
     pub aim_stretch: f64,
 }
 
-/// Whether a request may run again.
+/// Whether a request may be processed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Semantics {
-    /// Any repeat is harmless.
+    /// Idempotent: it may be processed any number of times.
     Safe,
-    /// Endpoints of one group drop repeats for a while.
+    /// Carries an idempotency key, by which the endpoints of a group drop duplicates for a limited time.
     Keyed {
-        /// Which endpoints drop each other's repeats.
+        /// The endpoints that recognize each other's duplicates.
         group: Group,
-        /// For how long, from the first send that may have run.
+        /// For how long, from the first attempt that may have been processed.
         window: Duration,
     },
-    /// Must never run twice.
+    /// Not idempotent: it must never be processed twice.
     Unsafe,
 }
 
-/// The endpoints among which a keyed repeat is dropped.
+/// The endpoints among which duplicates of a keyed request are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     /// All endpoints.
     All,
-    /// Those of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// Those of one cell.
+    /// The endpoints of one cell.
     Cell,
 }
 
-/// A tenant and what it may ask for.
+/// A tenant and its share of the service.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within its share, over all balancers.
+    /// Requests a second that the tenant may send, over all balancers.
     pub allowance_per_s: f64,
-    /// Its fraction of the service.
+    /// Its share of all traffic, as a fraction.
     pub portion: f64,
 }
 
-/// How the endpoint list reaches the balancer.
+/// How the balancer gets the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes come by themselves.
+    /// Discovery pushes changes of the list.
     Push,
-    /// Only what is asked for comes.
+    /// Discovery sends only what the balancer asks for, by a fetch or a watch.
     Ask,
 }
 
-/// What the deployment allows.
+/// Limits and features of the deployment.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancelling: bool,
-    /// Probes may be sent.
+    /// Whether endpoints may be probed.
     pub probes: bool,
-    /// Messages to other balancers may be sent.
+    /// Whether messages may be sent to other balancers.
     pub peers: bool,
-    /// Refusals may carry advice on when to come back.
+    /// Whether refusals may advise the client when to retry.
     pub retry_after: bool,
-    /// Longest such advice that clients heed.
+    /// Longest time until a retry that clients follow.
     pub max_retry_after: Duration,
-    /// Two attempts of one request may be out at once.
+    /// Whether requests may be hedged: a second attempt is sent while the first is in flight.
     pub second_copies: bool,
-    /// Attempts a request may have.
+    /// Most attempts for a request, the first included.
     pub max_attempts: u32,
-    /// A connection not up after this long has failed.
+    /// A connection that is not established after this time has failed.
     pub connect_timeout: Duration,
-    /// Simultaneous attempts one connection carries.
+    /// Concurrent attempts that one connection carries.
     pub streams_per_connection: u32,
-    /// Idle connections are closed after this long; zero where nothing is said.
+    /// Idle connections are closed after this time; zero: not stated.
     pub idle_close: Duration,
-    /// Open requests this balancer may have; more are turned away before they reach it. Zero: not stated.
+    /// Most requests that this balancer may have open; more are refused before they reach it. Zero: not
+    /// stated.
     pub open_cap: u32,
-    /// Processor time this balancer may use in a second; zero: not stated.
+    /// Processor time that this balancer may use in a second; zero: not stated.
     pub cpu_per_s: Duration,
-    /// Processor time for a request with its outcomes; zero: no limit.
+    /// Processor time that this balancer may use for a request and its outcomes; zero: no limit.
     pub cpu_per_request: Duration,
 }
 
-/// Figures of the four rules.
+/// Parameters of the four rules that every balancer must follow.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// With [`Discovery::Ask`]: ask again within this.
+    /// With [`Discovery::Ask`]: the balancer must ask for the list again within this time.
     pub ask_within: Duration,
-    /// A change of the list counts as known to a balancer so long after discovery had it and could be reached,
-    /// whatever became of its calls. No configuration has it: it is a term of service, and the simulator's is longer.
+    /// A list update counts as known to a balancer this long after discovery had it and was reachable,
+    /// whether or not the balancer's calls succeeded. Not configurable: it is fixed by the terms of
+    /// service, and longer in the simulator.
     pub known_within: Duration,
-    /// For so long a process may send by the list that it started with; none where that has no end. No configuration
-    /// has it: nothing says how old that list is, but the simulator's terms allow it some time.
+    /// How long after its start a process may send requests by its cached endpoint list; `None`: without
+    /// end. Not configurable: the age of that list is unknown, but the terms of the simulator allow some
+    /// time for it.
     pub cached_list_for: Option<Duration>,
-    /// A cold endpoint starts at this fraction of its capacity or more.
+    /// Slow start: a started endpoint has at least this fraction of its capacity.
     pub cold_share: f64,
-    /// And is warm within this.
+    /// Slow start: a started endpoint has its full capacity within this time.
     pub warm_within: Duration,
-    /// Sends to a draining endpoint must stop within this.
+    /// A draining endpoint must get no new requests after this time.
     pub drain_grace: Duration,
-    /// A cold endpoint sent more than this multiple of its capacity ...
+    /// An endpoint in slow start that is sent more than this multiple of its capacity ...
     pub fall_multiple: f64,
-    /// ... for this long falls over.
+    /// ... for this long fails from overload.
     pub fall_after: Duration,
-    /// A final answer still counts this long after the deadline.
+    /// A final answer still counts if it comes no later than this after the deadline.
     pub answer_grace: Duration,
 }
 
-/// What the result is made of: weights of its parts.
+/// How the simulator computes the score of a run: the weights of its components.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Goal {
-    /// The whole day.
+    /// Weight of the result over the whole run.
     pub whole: f64,
-    /// The worst ten seconds.
+    /// Weight of the worst ten seconds.
     pub worst_window: f64,
-    /// The worst-served class.
+    /// Weight of the worst-served class.
     pub worst_class: f64,
-    /// The worst-served tenant, within its share.
+    /// Weight of the worst-served tenant, within its allowance.
     pub worst_tenant: f64,
-    /// Tenfold steps that the unserved share lies below the whole, over spans of five seconds.
+    /// Weight of the number of nines: by how many powers of ten the unserved share of spans of five seconds
+    /// is below one.
     pub nines: f64,
-    /// So many such steps earn that weight in full; not a weight.
+    /// The number of nines that earns that weight in full; itself not a weight.
     pub nines_wanted: f64,
-    /// What worth is reckoned by.
+    /// The unit by which value is counted.
     pub counted_by: CountedBy,
 }
 
-/// What worth is reckoned by.
+/// The unit by which value is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CountedBy {
-    /// Each request counts alike within its class.
+    /// Each request of a class has the same value.
     Request,
-    /// Worth is for each unit of work, see [`Request::work_hint`](crate::Request::work_hint).
+    /// The value of a request is in proportion to its work, see
+    /// [`Request::work_hint`](crate::Request::work_hint).
     Work,
 }
 
-/// Prices, in points of the result.
+/// Costs that reduce the score, in points.
 #[derive(Clone, Debug, Default)]
 pub struct Costs {
-    /// Mean open connections, over a hundred for each endpoint.
+    /// Cost of open connections: their mean number over a hundred for each endpoint.
     pub connection: f64,
-    /// List lines sent, over a hundred for each first try.
+    /// Cost of discovery: list lines sent over a hundred for each first attempt.
     pub discovery: f64,
-    /// Attempts that cross zones, a first try.
+    /// Cost of attempts that cross zones, for each first attempt.
     pub cross_zone: f64,
-    /// Work that produced no answer, as a fraction of the work offered.
+    /// Cost of work that produced no answer, as a fraction of the work offered.
     pub waste: f64,
-    /// New connections, a first try.
+    /// Cost of new connections, for each first attempt.
     pub handshake: f64,
-    /// Probes, a first try.
+    /// Cost of probes, for each first attempt.
     pub probe: f64,
-    /// Worth left unserved after its objective had passed.
+    /// Cost of value that was left unserved after the objective had passed.
     pub late_fail: f64,
 }
 
-/// What load reports hold and how they come.
+/// Content and transport of the endpoints' load reports.
 #[derive(Clone, Debug)]
 pub struct LoadReports {
-    /// How they come.
+    /// How they are transported.
     pub via: ReportVia,
-    /// Their values, in order.
+    /// The fields of a report, in order.
     pub fields: Vec<LoadField>,
 }
 
-/// How load reports come.
+/// How load reports are transported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportVia {
-    /// Never.
+    /// There are no load reports.
     Off,
-    /// With every outcome and probe.
+    /// With the answers to attempts and probes.
     Inline,
-    /// With probes alone.
+    /// With the answers to probes only.
     Probe,
 }
 
-/// One value of a load report.
+/// A field of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadField {
-    /// Requests being handled.
+    /// Requests in progress.
     Outstanding,
     /// Requests queued.
     Backlog,
-    /// Fraction of the processor in use.
+    /// Processor utilization, as a fraction.
     Utilization,
-    /// Recent service time in milliseconds.
+    /// Recent service time, in milliseconds.
     RecentMs,
     /// Requests served a second.
     Throughput,
     /// Errors a second.
     ErrorsPerS,
-    /// A value this version does not know.
+    /// A field that this version does not know.
     Other,
 }
 
-/// What an endpoint's weight means.
+/// The meaning of an endpoint's weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightKind {
-    /// Nothing.
+    /// Weights have no meaning.
     Off,
-    /// Its registered size.
+    /// The registered size of the endpoint.
     Nominal,
-    /// Roughly its size.
+    /// The approximate size of the endpoint.
     Rough,
-    /// Its size over one plus the requests it held for each core, some time ago.
+    /// The size of the endpoint divided by one plus its requests per core, with some delay.
     Live,
 }
 
-/// Settings that make no sense.
+/// Why settings are invalid.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum SettingsError {
-    /// There is no class to serve.
+    /// The settings have no request class.
     #[error("classes: there must be at least one")]
     NoClasses,
-    /// A value lies outside its range.
+    /// A value is out of range.
     #[error("{field}: {value} is out of range")]
     OutOfRange {
         /// The setting.
@@ -349,7 +355,7 @@
 }
 
 impl Default for Settings {
-    /// One balancer, one class, one zone, a list that is pushed.
+    /// One balancer, one class, one zone, and an endpoint list that discovery pushes.
     fn default() -> Self {
         Settings {
             balancers: 1,
@@ -377,9 +383,9 @@
 }
 
 impl Settings {
-    /// Checks that the settings make sense.
+    /// Checks that all values are in range and that there is a class.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        fn within(field: &str, value: f64, low: f64, high: f64) -> Result<(), SettingsError> {
+        fn check_range(field: &str, value: f64, low: f64, high: f64) -> Result<(), SettingsError> {
             if (low..=high).contains(&value) {
                 Ok(())
             } else {
@@ -389,11 +395,11 @@
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
-        within("balancers", f64::from(self.balancers), 1.0, 1e6)?;
-        within("limits.max_attempts", f64::from(self.limits.max_attempts), 1.0, 1e6)?;
-        within("rules.cold_share", self.rules.cold_share, 0.0, 1.0)?;
-        within("rules.fall_multiple", self.rules.fall_multiple, 0.0, 1e6)?;
-        within("over_share_worth", self.over_share_worth, 0.0, 1.0)?;
+        check_range("balancers", f64::from(self.balancers), 1.0, 1e6)?;
+        check_range("limits.max_attempts", f64::from(self.limits.max_attempts), 1.0, 1e6)?;
+        check_range("rules.cold_share", self.rules.cold_share, 0.0, 1.0)?;
+        check_range("rules.fall_multiple", self.rules.fall_multiple, 0.0, 1e6)?;
+        check_range("over_share_worth", self.over_share_worth, 0.0, 1.0)?;
         let goal = &self.goal;
         for (field, value) in [
             ("goal.whole", goal.whole),
@@ -403,7 +409,7 @@
             ("goal.nines_part", goal.nines),
             ("goal.nines_wanted", goal.nines_wanted),
         ] {
-            within(field, value, 0.0, 1e6)?;
+            check_range(field, value, 0.0, 1e6)?;
         }
         for (i, class) in self.classes.iter().enumerate() {
             for (field, value, low, high) in [
@@ -413,12 +419,12 @@
                 ("objective", class.objective.as_secs_f64(), 1e-6, 1e6),
                 ("deadline", class.deadline.as_secs_f64(), 1e-6, 1e6),
             ] {
-                within(&format!("classes[{i}].{field}"), value, low, high)?;
+                check_range(&format!("classes[{i}].{field}"), value, low, high)?;
             }
         }
         for (i, tenant) in self.tenants.iter().enumerate() {
-            within(&format!("tenants[{i}].allowance_per_s"), tenant.allowance_per_s, 0.0, 1e12)?;
-            within(&format!("tenants[{i}].portion"), tenant.portion, 0.0, 1.0)?;
+            check_range(&format!("tenants[{i}].allowance_per_s"), tenant.allowance_per_s, 0.0, 1e12)?;
+            check_range(&format!("tenants[{i}].portion"), tenant.portion, 0.0, 1.0)?;
         }
         Ok(())
     }
