--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -23,7 +23,7 @@
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Value of a request that exceeds its tenant's allowance, as a fraction of the value of its class.
+    /// Value of a request above its tenant's share, as a fraction of the value of its class.
     pub over_share_worth: f64,
     /// How the balancer gets the endpoint list.
     pub discovery: Discovery,
@@ -99,7 +99,7 @@
 /// A tenant and its share of the service.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second that the tenant may send, over all balancers.
+    /// Requests a second, over all balancers, that count as within the tenant's share.
     pub allowance_per_s: f64,
     /// Its share of all traffic, as a fraction.
     pub portion: f64,
@@ -182,10 +182,10 @@
     pub worst_window: f64,
     /// Weight of the worst-served class.
     pub worst_class: f64,
-    /// Weight of the worst-served tenant, within its allowance.
+    /// Weight of the worst-served tenant, counting requests within its share.
     pub worst_tenant: f64,
-    /// Weight of the number of nines: by how many powers of ten the unserved share of spans of five seconds
-    /// is below one.
+    /// Weight of the number of nines: by how many powers of ten the unserved share is below one, over spans
+    /// of five seconds.
     pub nines: f64,
     /// The number of nines that earns that weight in full; itself not a weight.
     pub nines_wanted: f64,
@@ -208,15 +208,15 @@
 pub struct Costs {
     /// Cost of open connections: their mean number over a hundred for each endpoint.
     pub connection: f64,
-    /// Cost of discovery: list lines sent over a hundred for each first attempt.
+    /// Cost of discovery: list lines sent over a hundred for each first try.
     pub discovery: f64,
-    /// Cost of attempts that cross zones, for each first attempt.
+    /// Cost of attempts that cross zones, for each first try.
     pub cross_zone: f64,
     /// Cost of work that produced no answer, as a fraction of the work offered.
     pub waste: f64,
-    /// Cost of new connections, for each first attempt.
+    /// Cost of new connections, for each first try.
     pub handshake: f64,
-    /// Cost of probes, for each first attempt.
+    /// Cost of probes, for each first try.
     pub probe: f64,
     /// Cost of value that was left unserved after the objective had passed.
     pub late_fail: f64,
