--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! A load balancer's decisions for services that call services.
+//! The decisions of a load balancer between services: which endpoint gets which request, and when to retry.
 //!
-//! [`Balancer`] performs no I/O and reads no clock. Feed it [`Event`]s stamped with the caller's
-//! own clock and carry out the [`Action`]s it appends:
+//! [`Balancer`] performs no I/O and reads no clock. Pass it [`Event`]s with timestamps of your own
+//! clock, and carry out the [`Action`]s that it appends:
 //!
 //! ```
 //! use gullpulley::{Action, Balancer, EndpointInfo, Event, Membership, RequestId, Settings};
