--- a/src/adapter/mod.rs
+++ b/src/adapter/mod.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire, parsed and printed. Nothing here decides anything.
+//! Parses and prints the line protocol of the simulator. Makes no load balancing decisions.
 
 use crate::api::*;
 use crate::config::platform::{MAX_MS, duration, settings};
@@ -7,80 +7,80 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// What is wrong with a line of input.
+/// An error in a line of input.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("line {line}: field `{field}`: {problem}")]
 pub struct WireError {
     /// Number of the line, from 1.
     pub line: u64,
-    /// The field at fault.
+    /// The invalid field.
     pub field: String,
-    /// What is wrong with it.
+    /// Description of the error.
     pub problem: String,
 }
 
 /// One line of input.
 #[derive(Debug)]
 pub enum Line {
-    /// A batch begins, at this time.
+    /// A batch of events begins; the time of its events.
     Turn(Duration),
-    /// The batch is complete.
+    /// The batch is complete, and its replies are due.
     Flush,
-    /// A numbered list begins; so many entries follow.
+    /// A numbered table of endpoint list entries begins.
     Table {
-        /// Its number.
+        /// The number of the table.
         bank: u8,
-        /// Entries that follow.
+        /// The number of entries that follow.
         entries: usize,
     },
-    /// An entry of a list.
+    /// An entry of the table that was begun last.
     Entry(EndpointInfo),
-    /// An instance starts.
+    /// An instance of the balancer starts.
     Spawn {
         /// The instance.
         instance: u32,
-        /// Its seed.
+        /// The seed of its random numbers.
         seed: u64,
         /// Its settings.
         settings: Box<Settings>,
     },
-    /// An instance was killed.
+    /// An instance was stopped.
     Detach(u32),
-    /// Discovery's news for an instance.
+    /// A message from discovery to an instance.
     Targets {
         /// The instance.
         instance: u32,
-        /// What sort of news.
+        /// The kind of message.
         mode: ListMode,
-        /// The list that holds the entries.
+        /// The table that holds the entries.
         bank: u8,
     },
-    /// Any other event, with the request's name where it has one.
+    /// Any other event, with the name of its request if it has one.
     Event {
         /// The instance.
         instance: u32,
-        /// The request's name on the wire.
+        /// The name of the request in the protocol.
         name: Option<String>,
-        /// What happened; a request's id is filled in by the host.
+        /// The event. The host fills in the id of the request.
         event: Event,
     },
 }
 
-/// The sorts of discovery news.
+/// The kinds of messages from discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListMode {
-    /// `D`
+    /// `D`: the changed entries only.
     Changes,
-    /// `F`
+    /// `F`: the complete list.
     Full,
-    /// `C`
+    /// `C`: the cached list, at the start of an instance.
     Cached,
-    /// `X`
+    /// `X`: a call to discovery failed.
     Failed,
 }
 
-/// Stands in an event until the host puts the request's own id there.
-const UNSET: RequestId = RequestId(u64::MAX);
+/// Placeholder in an event until the host fills in the id of the request.
+const UNSET_ID: RequestId = RequestId(u64::MAX);
 
 struct Fields<'a> {
     line: u64,
@@ -104,8 +104,8 @@
         Ok(Some(self.text(field)?).filter(|text| *text != "-"))
     }
 
-    fn parsed<T: FromStr>(&self, field: &str, text: &str, wanted: &str) -> Result<T, WireError> {
-        text.parse().map_err(|_| self.error(field, format!("`{text}` is not {wanted}")))
+    fn parsed<T: FromStr>(&self, field: &str, text: &str, expected: &str) -> Result<T, WireError> {
+        text.parse().map_err(|_| self.error(field, format!("`{text}` is not {expected}")))
     }
 
     fn integer<T: FromStr>(&mut self, field: &str) -> Result<T, WireError> {
@@ -164,7 +164,7 @@
             "520" => Outcome::Reset,
             "444" => Outcome::Cancelled,
             "409" => Outcome::NotSent,
-            other => return Err(self.error(field, format!("`{other}` is no known outcome"))),
+            other => return Err(self.error(field, format!("unknown outcome `{other}`"))),
         })
     }
 
@@ -176,7 +176,7 @@
     fn end(&mut self) -> Result<(), WireError> {
         match self.rest.next() {
             None => Ok(()),
-            Some(extra) => Err(self.error("end of line", format!("`{extra}` is too much"))),
+            Some(extra) => Err(self.error("end of line", format!("unexpected extra field `{extra}`"))),
         }
     }
 
@@ -185,11 +185,11 @@
     }
 }
 
-/// Reads line number `line`; `names` turns endpoint names into ids.
+/// Parses line number `line`. `names` maps endpoint names to ids.
 pub fn parse(line: u64, text: &str, names: &mut EndpointNames) -> Result<Line, WireError> {
     let mut f = Fields { line, rest: text.split(' ') };
-    let word = f.text("message")?;
-    let parsed = match word {
+    let message = f.text("message")?;
+    let parsed = match message {
         "turn" => Line::Turn(f.time("clock")?),
         "flush" => Line::Flush,
         "table" => {
@@ -208,7 +208,7 @@
                 "Ready" => EndpointState::Ready,
                 "Terminating" => EndpointState::Draining,
                 "Gone" => EndpointState::Gone,
-                other => return Err(f.error("health", format!("`{other}` is no known state"))),
+                other => return Err(f.error("health", format!("unknown state `{other}`"))),
             },
             weight: match f.optional("units")? {
                 None => 1.0,
@@ -234,21 +234,21 @@
                 "F" => ListMode::Full,
                 "C" => ListMode::Cached,
                 "X" => ListMode::Failed,
-                other => return Err(f.error("mode", format!("`{other}` is no known mode"))),
+                other => return Err(f.error("mode", format!("unknown mode `{other}`"))),
             };
             if let Some(text) = f.optional("epoch")? {
                 f.parsed::<u64>("epoch", text, "a whole number")?;
             }
-            // The list's number means nothing where nothing is listed.
+            // After a failed call there is no table, and the field has no meaning.
             let bank = if mode == ListMode::Failed { f.text("bank").map(|_| 0)? } else { bank(&mut f)? };
             Line::Targets { instance, mode, bank }
         }
         "order" | "opened" | "result" | "aborted" | "timeout_fired" | "sampled" | "neighbour_says" => {
             let instance = f.integer("sidecar")?;
-            let (name, event) = event(word, &mut f, names)?;
+            let (name, event) = event(message, &mut f, names)?;
             Line::Event { instance, name, event }
         }
-        other => return Err(f.error("message", format!("`{other}` is no known message"))),
+        other => return Err(f.error("message", format!("unknown message `{other}`"))),
     };
     f.end()?;
     Ok(parsed)
@@ -256,15 +256,15 @@
 
 fn bank(f: &mut Fields) -> Result<u8, WireError> {
     let bank: u8 = f.integer("bank")?;
-    if bank > 15 { Err(f.error("bank", format!("{bank} is over 15"))) } else { Ok(bank) }
+    if bank > 15 { Err(f.error("bank", format!("{bank} is greater than 15"))) } else { Ok(bank) }
 }
 
 fn event(
-    word: &str,
+    message: &str,
     f: &mut Fields,
     names: &mut EndpointNames,
 ) -> Result<(Option<String>, Event), WireError> {
-    Ok(match word {
+    Ok(match message {
         "order" => {
             let name = f.text("job")?.to_owned();
             let work_hint = f.optional_time("estimateMs")?;
@@ -279,7 +279,7 @@
             let time_left = f.time("patienceLeftMs")?;
             let (tenant, class) = (TenantId(f.index("customer")?), ClassId(f.index("kind")?));
             let event = Event::Request(Request {
-                id: UNSET,
+                id: UNSET_ID,
                 class,
                 tenant,
                 time_left,
@@ -296,7 +296,7 @@
             let attempt = AttemptNo(f.integer("copy")?);
             f.text("endpoint")?;
             f.time("elapsedMs")?;
-            (Some(name), Event::StreamStarted { request: UNSET, attempt })
+            (Some(name), Event::StreamStarted { request: UNSET_ID, attempt })
         }
         "result" => {
             let name = f.text("job")?.to_owned();
@@ -304,11 +304,11 @@
             let endpoint = names.id(f.text("endpoint")?);
             let attempt = AttemptNo(f.integer("copy")?);
             let report = f.report("report")?;
-            let request = UNSET;
+            let request = UNSET_ID;
             let ended = AttemptEnded { request, attempt, endpoint, outcome, elapsed, finished, report };
             (Some(name), Event::AttemptEnded(ended))
         }
-        "aborted" => (Some(f.text("job")?.to_owned()), Event::RequestGone(UNSET)),
+        "aborted" => (Some(f.text("job")?.to_owned()), Event::RequestGone(UNSET_ID)),
         "timeout_fired" => (None, Event::Timer(TimerToken(f.integer("ctx")?))),
         "sampled" => {
             let endpoint = names.id(f.text("endpoint")?);
@@ -327,11 +327,12 @@
     })
 }
 
-/// Prints one action of `instance`; `request` is the wire's name of the request it is about.
+/// Prints an action of `instance`. `request` is the protocol's name of the action's request.
 pub fn print(instance: u32, action: &Action, request: &str, names: &EndpointNames) -> String {
     match action {
         Action::Send { endpoint, timeout, .. } => {
-            // Zero would mean "no time-out of its own", so the least that can be said is a microsecond.
+            // Zero would mean that the attempt has no time-out of its own, so the least value is a
+            // microsecond.
             let timeout = (*timeout).max(Duration::from_micros(1));
             format!("try {instance} {request} {} {}", millis(timeout), names.name(*endpoint))
         }
@@ -350,8 +351,8 @@
     }
 }
 
-/// Prints the report of a panic in an instance.
-pub fn print_fault(instance: u32, problem: &str) -> String {
+/// Prints the report that an instance has panicked.
+pub fn print_panic(instance: u32, problem: &str) -> String {
     format!("die {instance} {}", one_line(problem))
 }
 
