--- a/src/fleet/log/founding.rs
+++ b/src/fleet/log/founding.rs
@@ -35,7 +35,7 @@
 
 /// What comes of what was heard.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Turn {
+pub(super) enum Transition {
     /// This is to be promised, as soon as it is durable.
     Promise(Members),
     /// All have promised: there is a log.
@@ -62,44 +62,44 @@
 pub(super) struct Founder {
     name: String,
     id: u64,
-    named: BTreeSet<String>,
+    voters: BTreeSet<String>,
     promised: Option<Members>,
-    heard: BTreeMap<String, Founding>,
+    received: BTreeMap<String, Founding>,
 }
 
 impl Founder {
-    pub(super) fn new(name: &str, id: u64, named: BTreeSet<String>, promised: Option<Members>) -> Self {
-        Founder { name: name.to_owned(), id, named, promised, heard: BTreeMap::new() }
+    pub(super) fn new(name: &str, id: u64, voters: BTreeSet<String>, promised: Option<Members>) -> Self {
+        Founder { name: name.to_owned(), id, voters, promised, received: BTreeMap::new() }
     }
 
     /// What it says of itself.
-    pub(super) fn says(&self) -> Founding {
+    pub(super) fn message(&self) -> Founding {
         let stage = self.promised.clone().map_or(Stage::Open, Stage::Promised);
         Founding { from: self.name.clone(), id: self.id, stage }
     }
 
     /// Its promise is durable.
-    pub(super) fn promise(&mut self, members: Members) {
+    pub(super) fn set_promised(&mut self, members: Members) {
         self.promised = Some(members);
     }
 
     /// Takes what another says, and what follows from all that was heard.
-    pub(super) fn hear(&mut self, founding: Founding) -> Option<Turn> {
+    pub(super) fn receive(&mut self, founding: Founding) -> Option<Transition> {
         if let Stage::Founded(members) = founding.stage {
             // A number that has a part in it without a promise here: that promise was forgotten, and so may votes be.
             let own = self.promised.as_ref() == Some(&members) && members.get(&self.name) == Some(&self.id);
-            return Some(if own { Turn::Found(members) } else { Turn::Follow(members) });
+            return Some(if own { Transition::Found(members) } else { Transition::Follow(members) });
         }
-        if self.named.contains(&founding.from) {
-            self.heard.insert(founding.from.clone(), founding);
+        if self.voters.contains(&founding.from) {
+            self.received.insert(founding.from.clone(), founding);
         }
-        self.turn()
+        self.next_transition()
     }
 
     /// Why it does not go on, where that can be told.
     pub(super) fn founding_conflict(&self) -> Option<FoundingConflict> {
         let own = self.promised.as_ref()?;
-        self.heard.values().find_map(|other| match &other.stage {
+        self.received.values().find_map(|other| match &other.stage {
             Stage::Promised(members) if !members.keys().eq(own.keys()) => {
                 Some(FoundingConflict::OtherVoters(other.from.clone()))
             }
@@ -113,22 +113,22 @@
         })
     }
 
-    fn turn(&self) -> Option<Turn> {
-        if !self.named.contains(&self.name) || self.heard.len() + 1 < self.named.len() {
+    fn next_transition(&self) -> Option<Transition> {
+        if !self.voters.contains(&self.name) || self.received.len() + 1 < self.voters.len() {
             return None;
         }
         let mut members: Members =
-            self.heard.values().map(|other| (other.from.clone(), other.id)).collect();
+            self.received.values().map(|other| (other.from.clone(), other.id)).collect();
         members.insert(self.name.clone(), self.id);
-        let Some(own) = &self.promised else { return Some(Turn::Promise(members)) };
-        let alike = |other: &Founding| other.stage == Stage::Promised(own.clone());
-        self.heard.values().all(alike).then(|| Turn::Found(own.clone()))
+        let Some(own) = &self.promised else { return Some(Transition::Promise(members)) };
+        let promised_same = |other: &Founding| other.stage == Stage::Promised(own.clone());
+        self.received.values().all(promised_same).then(|| Transition::Found(own.clone()))
     }
 }
 
 /// The name of a log: two foundings have different ones.
 pub fn log_id(members: &Members) -> u64 {
-    let text = postcard::to_stdvec(members).unwrap_or_default(); // writing to memory does not fail
-    let (low, high) = (crc32fast::hash(&text), crc32fast::hash(&[&text[..], b"history"].concat()));
+    let encoded = postcard::to_stdvec(members).unwrap_or_default(); // writing to memory does not fail
+    let (low, high) = (crc32fast::hash(&encoded), crc32fast::hash(&[&encoded[..], b"history"].concat()));
     (u64::from(high) << 32 | u64::from(low)).max(1)
 }
--- a/src/fleet/log/mod.rs
+++ b/src/fleet/log/mod.rs
@@ -25,25 +25,25 @@
 pub use wire::{FrameError, MAX_FRAME_BYTES};
 
 use crate::state::memory::{Change, Memory, Promise};
-use founding::{Founder, Turn};
+use founding::{Founder, Transition};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use thiserror::Error;
-use voter::{Deeds, Voter};
-use wire::{Entry, Message, Says, Snapshot, Voters};
+use voter::{Effects, Voter};
+use wire::{Entry, Message, Payload, Snapshot, VoterConfig};
 
 /// Under this name the promise of a founding lies among the grants.
-const FOUNDING: &str = "log/founding";
+const FOUNDING_GRANT: &str = "log/founding";
 /// And under this the members with which the log was founded, at all that have a part in its vote.
-const FOUNDED: &str = "log/founded";
+const FOUNDED_GRANT: &str = "log/founded";
 /// Orders of this process that may wait for their outcome.
-const ORDERS_MOST: usize = 64;
+const MAX_PENDING_COMMANDS: usize = 64;
 /// Between two times that the same is said, in ticks: an order without an outcome, a founding, a wish to succeed.
-const AGAIN: u32 = 10;
+const RESEND_TICKS: u32 = 10;
 /// Voters whose names are remembered as they speak.
-const SPOKE_MOST: usize = 64;
+const MAX_SENDER_NAMES: usize = 64;
 /// A process that follows asks again after so many ticks.
-const FOLLOW: u32 = 10;
+const FETCH_TICKS: u32 = 10;
 
 /// What a process is told of the log.
 #[derive(Clone, Debug)]
@@ -79,82 +79,82 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ProposeError {
     /// Too many wait.
-    #[error("{ORDERS_MOST} orders wait for their outcome")]
+    #[error("{MAX_PENDING_COMMANDS} commands are already pending")]
     Full,
     /// It is larger than may be.
-    #[error("larger than {MAX_KEY_VALUE_BYTES} bytes")]
+    #[error("command exceeds {MAX_KEY_VALUE_BYTES} bytes")]
     TooLarge,
 }
 
 /// The log at one process, in made time.
 pub struct Log {
     settings: Settings,
-    stand: Stand,
+    mode: Mode,
     log_id: u64,
     /// The founding that is known, for those that ask.
     founded: Option<Members>,
     ticks: u32,
     tick_at: Duration,
-    numbered: u64,
+    last_number: u64,
     /// Orders of this process without an outcome.
-    orders: BTreeMap<u64, Put>,
+    pending_commands: BTreeMap<u64, Put>,
     /// Which of the voters is asked next by one that follows or orders.
-    asked: usize,
+    next_asked: usize,
     /// Voters known to have lost their memory, by name, and the tick at which they last said so.
-    lost: BTreeMap<String, u32>,
+    lost_state: BTreeMap<String, u32>,
     /// Names of voters that have spoken, by number: one that learns knows them by nothing else.
-    spoke: BTreeMap<u64, String>,
-    dropped: [u64; 3],
+    sender_names: BTreeMap<u64, String>,
+    dropped_frames: [u64; 3],
     stopped: bool,
     /// The batch that makes the promise of a founding durable, and what it promises.
-    promising: Option<(u64, Members)>,
-    batches: u64,
+    pending_promise: Option<(u64, Members)>,
+    own_batches: u64,
 }
 
-enum Stand {
+enum Mode {
     Founding(Founder),
-    Votes(Box<Voter>),
-    Follows(Followed),
+    Voting(Box<Voter>),
+    Following(Follower),
 }
 
 /// What one that follows has.
 #[derive(Default)]
-struct Followed {
-    agreed: ReplicatedState,
+struct Follower {
+    state: ReplicatedState,
     applied: u64,
-    voters: Voters,
+    voters: VoterConfig,
 }
 
 impl Log {
     /// A process with what it remembers.
     pub fn new(settings: Settings, memory: &Memory, now: Duration) -> Result<Self, LoadError> {
-        let granted =
+        let read_grant =
             |name| memory.grants.get(name).and_then(|bytes| postcard::from_bytes::<Members>(bytes).ok());
-        let founded = granted(FOUNDED);
-        let stand = match &founded {
-            Some(_) => Stand::Votes(Box::new(Voter::new(settings.id, memory, settings.seed)?)),
+        let founded = read_grant(FOUNDED_GRANT);
+        let mode = match &founded {
+            Some(_) => Mode::Voting(Box::new(Voter::new(settings.id, memory, settings.seed)?)),
             None => {
-                let (named, promised) = (settings.voters.clone(), granted(FOUNDING));
-                Stand::Founding(Founder::new(&settings.name, settings.id, named, promised))
+                let (voters, promised) = (settings.voters.clone(), read_grant(FOUNDING_GRANT));
+                Mode::Founding(Founder::new(&settings.name, settings.id, voters, promised))
             }
         };
         let log_id = founded.as_ref().map_or(0, log_id);
-        let (ticks, numbered, asked, batches, stopped) = Default::default();
+        let (ticks, last_number, next_asked, own_batches, stopped) = Default::default();
         Ok(Log {
-            stand,
+            mode,
             log_id,
             founded,
             ticks,
             tick_at: now,
-            numbered,
-            orders: BTreeMap::new(),
-            asked,
-            lost: BTreeMap::new(),
-            spoke: BTreeMap::new(),
-            dropped: [0; 3],
+            last_number,
+            pending_commands: BTreeMap::new(),
+            next_asked,
+            lost_state: BTreeMap::new(),
+            sender_names: BTreeMap::new(),
+            dropped_frames: [0; 3],
             stopped,
-            promising: None,
-            batches,
+            pending_promise: None,
+            own_batches,
             settings,
         })
     }
@@ -174,11 +174,11 @@
         if self.stopped {
             return;
         }
-        let again = self.ticks.is_multiple_of(AGAIN);
-        match &mut self.stand {
-            Stand::Founding(founder) => {
-                if again {
-                    let founding = founder.says();
+        let resend_due = self.ticks.is_multiple_of(RESEND_TICKS);
+        match &mut self.mode {
+            Mode::Founding(founder) => {
+                if resend_due {
+                    let founding = founder.message();
                     let others = self.settings.voters.iter().filter(|name| **name != self.settings.name);
                     let others: Vec<String> = others.cloned().collect();
                     for name in others {
@@ -186,28 +186,28 @@
                     }
                 }
             }
-            Stand::Votes(voter) => voter.tick(now),
-            Stand::Follows(followed) => {
-                if self.ticks.is_multiple_of(FOLLOW) {
-                    let after = followed.applied;
-                    self.ask_on(after, out);
+            Mode::Voting(voter) => voter.tick(now),
+            Mode::Following(follower) => {
+                if self.ticks.is_multiple_of(FETCH_TICKS) {
+                    let after = follower.applied;
+                    self.send_fetch(after, out);
                 }
-                if again && self.settings.voters.contains(&self.settings.name) {
+                if resend_due && self.settings.voters.contains(&self.settings.name) {
                     let (name, id) = (self.settings.name.clone(), self.settings.id);
                     let others: Vec<String> =
                         self.settings.voters.iter().filter(|other| **other != name).cloned().collect();
                     for other in others {
-                        self.send(other, &Message::Succeed { name: name.clone(), id }, out);
+                        self.send(other, &Message::ReplaceVoter { name: name.clone(), id }, out);
                     }
                 }
             }
         }
-        if again {
+        if resend_due {
             let ticks = self.ticks;
-            self.lost.retain(|_, at| ticks.wrapping_sub(*at) < 4 * AGAIN);
-            self.send_orders(out);
+            self.lost_state.retain(|_, at| ticks.wrapping_sub(*at) < 4 * RESEND_TICKS);
+            self.send_commands(out);
         }
-        self.work(now, out);
+        self.process_ready(now, out);
     }
 
     /// Takes a frame as it came.
@@ -215,11 +215,11 @@
         if self.stopped {
             return;
         }
-        match wire::open(&self.settings.cluster, frame) {
-            Ok(message) => self.take(message, out),
-            Err(unheard) => self.dropped[unheard as usize] += 1,
+        match wire::decode(&self.settings.cluster, frame) {
+            Ok(message) => self.handle(message, out),
+            Err(error) => self.dropped_frames[error as usize] += 1,
         }
-        self.work(now, out);
+        self.process_ready(now, out);
     }
 
     /// Takes an order; its number. It is sent until it has an outcome.
@@ -227,32 +227,32 @@
         if put.key.len() + put.bytes.as_ref().map_or(0, Vec::len) > MAX_KEY_VALUE_BYTES {
             return Err(ProposeError::TooLarge);
         }
-        if self.orders.len() >= ORDERS_MOST {
+        if self.pending_commands.len() >= MAX_PENDING_COMMANDS {
             return Err(ProposeError::Full);
         }
-        self.numbered += 1;
-        self.orders.insert(self.numbered, put);
-        self.send_order(self.numbered, out);
-        self.work(now, out);
-        Ok(self.numbered)
+        self.last_number += 1;
+        self.pending_commands.insert(self.last_number, put);
+        self.send_command(self.last_number, out);
+        self.process_ready(now, out);
+        Ok(self.last_number)
     }
 
     /// All batches up to this one are durable.
     pub fn durable(&mut self, now: Duration, batch: u64, out: &mut Vec<Output>) {
-        if let Some((promised, _)) = &self.promising
+        if let Some((promised, _)) = &self.pending_promise
             && batch >= *promised
-            && let Some((_, members)) = self.promising.take()
-            && let Stand::Founding(founder) = &mut self.stand
+            && let Some((_, members)) = self.pending_promise.take()
+            && let Mode::Founding(founder) = &mut self.mode
         {
-            founder.promise(members);
+            founder.set_promised(members);
         }
-        let before = self.batches;
-        if let Stand::Votes(voter) = &mut self.stand {
-            let mut deeds = Deeds::default();
-            voter.durable(batch.saturating_sub(before), &mut deeds);
-            self.carry_out(deeds, out);
+        let before = self.own_batches;
+        if let Mode::Voting(voter) = &mut self.mode {
+            let mut effects = Effects::default();
+            voter.durable(batch.saturating_sub(before), &mut effects);
+            self.apply_effects(effects, out);
         }
-        self.work(now, out);
+        self.process_ready(now, out);
     }
 
     /// Nothing is kept any more: whatever this process says from now on could be forgotten, so it says nothing.
@@ -262,41 +262,41 @@
 
     /// What is agreed, as far as it has come here.
     pub fn state(&self) -> Option<&ReplicatedState> {
-        match &self.stand {
-            Stand::Founding(_) => None,
-            Stand::Votes(voter) => Some(&voter.agreed),
-            Stand::Follows(followed) => Some(&followed.agreed),
+        match &self.mode {
+            Mode::Founding(_) => None,
+            Mode::Voting(voter) => Some(&voter.state),
+            Mode::Following(follower) => Some(&follower.state),
         }
     }
 
     /// How things are.
     pub fn status(&self) -> Status {
-        let named = |agreed: &ReplicatedState, ids: &[u64]| {
-            ids.iter().filter_map(|id| agreed.names.get(id).cloned()).collect::<Vec<_>>()
+        let names_of = |state: &ReplicatedState, ids: &[u64]| {
+            ids.iter().filter_map(|id| state.names.get(id).cloned()).collect::<Vec<_>>()
         };
         let (mut reconfiguring, mut learners) = (false, Vec::new());
-        let (role, leader, term, applied, voters) = match &self.stand {
-            Stand::Founding(_) => {
+        let (role, leader, term, applied, voters) = match &self.mode {
+            Mode::Founding(_) => {
                 (Role::Founding, None, 0, 0, self.settings.voters.iter().cloned().collect())
             }
-            Stand::Votes(voter) => {
-                let voters = voter.voters();
+            Mode::Voting(voter) => {
+                let config = voter.config();
                 let role = match voter.is_leader() {
                     true => Role::Leader,
-                    false if voters.votes(self.settings.id) => Role::Voter,
+                    false if config.is_voter(self.settings.id) => Role::Voter,
                     false => Role::Learner,
                 };
-                let leader = voter.agreed.names.get(&voter.leader()).cloned();
-                reconfiguring = !voters.outgoing.is_empty();
-                learners = named(&voter.agreed, &voters.learners);
-                (role, leader, voter.term(), voter.applied, named(&voter.agreed, &voters.voters))
+                let leader = voter.state.names.get(&voter.leader()).cloned();
+                reconfiguring = !config.outgoing.is_empty();
+                learners = names_of(&voter.state, &config.learners);
+                (role, leader, voter.term(), voter.applied, names_of(&voter.state, &config.voters))
             }
-            Stand::Follows(followed) => (
+            Mode::Following(follower) => (
                 Role::Follower,
                 None,
                 0,
-                followed.applied,
-                named(&followed.agreed, &followed.voters.voters),
+                follower.applied,
+                names_of(&follower.state, &follower.voters.voters),
             ),
         };
         Status {
@@ -308,228 +308,233 @@
             voters,
             learners,
             reconfiguring,
-            lost_state: self.lost.keys().cloned().collect(),
-            founding_conflict: match &self.stand {
-                Stand::Founding(founder) => founder.founding_conflict(),
+            lost_state: self.lost_state.keys().cloned().collect(),
+            founding_conflict: match &self.mode {
+                Mode::Founding(founder) => founder.founding_conflict(),
                 _ => None,
             },
-            pending_commands: self.orders.len(),
-            dropped_frames: self.dropped,
+            pending_commands: self.pending_commands.len(),
+            dropped_frames: self.dropped_frames,
             stopped: self.stopped,
         }
     }
 
-    fn take(&mut self, message: Message, out: &mut Vec<Output>) {
+    fn handle(&mut self, message: Message, out: &mut Vec<Output>) {
         match message {
-            Message::Founding(founding) => self.hear_founding(founding, out),
-            Message::Vote { log_id, by, says } => {
-                if log_id != self.log_id || says.to != self.settings.id {
+            Message::Founding(founding) => self.handle_founding(founding, out),
+            Message::Raft { log_id, sender, message } => {
+                if log_id != self.log_id || message.to != self.settings.id {
                     return;
                 }
-                if self.spoke.len() < SPOKE_MOST {
-                    self.spoke.insert(says.from, by);
+                if self.sender_names.len() < MAX_SENDER_NAMES {
+                    self.sender_names.insert(message.from, sender);
                 }
-                match &mut self.stand {
-                    Stand::Votes(voter) => voter.hear(says),
+                match &mut self.mode {
+                    Mode::Voting(voter) => voter.receive(message),
                     // It is let in: from here on the leader tells it everything.
-                    Stand::Follows(_) => self.learn(says, out),
-                    Stand::Founding(_) => {}
+                    Mode::Following(_) => self.become_learner(message, out),
+                    Mode::Founding(_) => {}
                 }
             }
-            Message::Command { order, passed } => {
-                if let Stand::Votes(voter) = &mut self.stand
-                    && !voter.propose(&order)
-                    && !passed
-                    && let Some(leader) = voter.agreed.names.get(&voter.leader()).cloned()
+            Message::Command { command, forwarded } => {
+                if let Mode::Voting(voter) = &mut self.mode
+                    && !voter.propose(&command)
+                    && !forwarded
+                    && let Some(leader) = voter.state.names.get(&voter.leader()).cloned()
                     && leader != self.settings.name
                 {
-                    self.send(leader, &Message::Command { order, passed: true }, out);
+                    self.send(leader, &Message::Command { command, forwarded: true }, out);
                 }
             }
-            Message::Follow { from, log_id, after } => self.answer(from, log_id, after, out),
+            Message::Fetch { from, log_id, after } => self.answer_fetch(from, log_id, after, out),
             Message::Committed { log_id, snapshot, entries } => {
                 if log_id == self.log_id {
-                    self.follow(snapshot, entries, out);
+                    self.apply_committed(snapshot, entries, out);
                 }
             }
-            Message::Succeed { name, id } => {
-                if let Stand::Votes(voter) = &mut self.stand {
-                    voter.note_successor(name.clone(), id);
-                    self.lost.insert(name, self.ticks);
+            Message::ReplaceVoter { name, id } => {
+                if let Mode::Voting(voter) = &mut self.mode {
+                    voter.note_replacement(name.clone(), id);
+                    self.lost_state.insert(name, self.ticks);
                 }
             }
         }
     }
 
-    fn hear_founding(&mut self, founding: Founding, out: &mut Vec<Output>) {
+    fn handle_founding(&mut self, founding: Founding, out: &mut Vec<Output>) {
         let asks = !matches!(founding.stage, Stage::Founded(_));
         if let (Some(members), true) = (&self.founded, asks) {
             let (from, id) = (self.settings.name.clone(), self.settings.id);
-            let told = Founding { from, id, stage: Stage::Founded(members.clone()) };
-            return self.send(founding.from, &Message::Founding(told), out);
+            let reply = Founding { from, id, stage: Stage::Founded(members.clone()) };
+            return self.send(founding.from, &Message::Founding(reply), out);
         }
-        let Stand::Founding(founder) = &mut self.stand else { return };
-        match founder.hear(founding) {
-            Some(Turn::Promise(members)) if self.promising.is_none() => {
-                self.batches += 1;
-                out.push(Output::Write(self.batches, vec![granted(FOUNDING, &members)]));
-                self.promising = Some((self.batches, members));
+        let Mode::Founding(founder) = &mut self.mode else { return };
+        match founder.receive(founding) {
+            Some(Transition::Promise(members)) if self.pending_promise.is_none() => {
+                self.own_batches += 1;
+                out.push(Output::Write(self.own_batches, vec![grant_change(FOUNDING_GRANT, &members)]));
+                self.pending_promise = Some((self.own_batches, members));
             }
-            Some(Turn::Found(members)) => self.found(members, out),
-            Some(Turn::Follow(members)) => {
+            Some(Transition::Found(members)) => self.found_log(members, out),
+            Some(Transition::Follow(members)) => {
                 self.log_id = log_id(&members);
                 self.founded = Some(members);
-                self.stand = Stand::Follows(Followed::default());
+                self.mode = Mode::Following(Follower::default());
             }
-            Some(Turn::Promise(_)) | None => {}
+            Some(Transition::Promise(_)) | None => {}
         }
     }
 
     /// All have promised: the log begins with who votes, at index 1.
-    fn found(&mut self, members: Members, out: &mut Vec<Output>) {
+    fn found_log(&mut self, members: Members, out: &mut Vec<Output>) {
         let state = postcard::to_stdvec(&ReplicatedState::founded(&members)).unwrap_or_default(); // as above
-        let voters = Voters { voters: members.values().copied().collect(), ..Voters::default() };
+        let voters = VoterConfig { voters: members.values().copied().collect(), ..VoterConfig::default() };
         let snapshot = Snapshot { index: 1, term: 1, voters, state };
         let mut memory = Memory::default();
         let promise = Promise { term: 1, vote: None, commit: 1 };
         let bytes = postcard::to_stdvec(&snapshot).unwrap_or_default(); // as above
         let changes = vec![
-            granted(FOUNDED, &members),
+            grant_change(FOUNDED_GRANT, &members),
             Change::Promise(promise),
             Change::Snapshot(crate::state::memory::Snapshot { index: 1, term: 1, bytes }),
         ];
         changes.iter().cloned().for_each(|change| memory.apply(change));
         // It was written a moment ago, and reads.
         let Ok(voter) = Voter::new(self.settings.id, &memory, self.settings.seed) else { return };
-        self.batches += 1;
-        out.push(Output::Write(self.batches, changes));
+        self.own_batches += 1;
+        out.push(Output::Write(self.own_batches, changes));
         self.log_id = log_id(&members);
         self.founded = Some(members);
-        self.stand = Stand::Votes(Box::new(voter));
+        self.mode = Mode::Voting(Box::new(voter));
     }
 
     /// A learner begins with nothing; what it keeps from then on is its own.
-    fn learn(&mut self, says: wire::Said, out: &mut Vec<Output>) {
+    fn become_learner(&mut self, message: wire::RaftMessage, out: &mut Vec<Output>) {
         let Some(members) = &self.founded else { return };
         let Ok(mut voter) = Voter::new(self.settings.id, &Memory::default(), self.settings.seed) else {
             return;
         };
-        voter.hear(says);
-        self.batches += 1;
-        out.push(Output::Write(self.batches, vec![granted(FOUNDED, members)]));
-        self.stand = Stand::Votes(Box::new(voter));
+        voter.receive(message);
+        self.own_batches += 1;
+        out.push(Output::Write(self.own_batches, vec![grant_change(FOUNDED_GRANT, members)]));
+        self.mode = Mode::Voting(Box::new(voter));
     }
 
-    fn answer(&mut self, from: String, log_id: u64, after: u64, out: &mut Vec<Output>) {
-        let Stand::Votes(voter) = &mut self.stand else { return };
+    fn answer_fetch(&mut self, from: String, log_id: u64, after: u64, out: &mut Vec<Output>) {
+        let Mode::Voting(voter) = &mut self.mode else { return };
         // An index of another history says nothing.
         let after = if log_id == self.log_id { after } else { 0 };
-        let (snapshot, entries) = voter.tail(after);
+        let (snapshot, entries) = voter.committed_after(after);
         if snapshot.is_some() || !entries.is_empty() {
             self.send(from, &Message::Committed { log_id: self.log_id, snapshot, entries }, out);
         }
     }
 
-    fn follow(&mut self, snapshot: Option<Box<Snapshot>>, entries: Vec<Entry>, out: &mut Vec<Output>) {
-        let Stand::Follows(followed) = &mut self.stand else { return };
-        let before = followed.applied;
+    fn apply_committed(
+        &mut self,
+        snapshot: Option<Box<Snapshot>>,
+        entries: Vec<Entry>,
+        out: &mut Vec<Output>,
+    ) {
+        let Mode::Following(follower) = &mut self.mode else { return };
+        let before = follower.applied;
         if let Some(snapshot) = snapshot
-            && snapshot.index > followed.applied
-            && let Ok(agreed) = postcard::from_bytes::<ReplicatedState>(&snapshot.state)
+            && snapshot.index > follower.applied
+            && let Ok(state) = postcard::from_bytes::<ReplicatedState>(&snapshot.state)
         {
-            *followed = Followed { agreed, applied: snapshot.index, voters: snapshot.voters };
+            *follower = Follower { state, applied: snapshot.index, voters: snapshot.voters };
         }
         for entry in entries {
-            if entry.index != followed.applied + 1 {
+            if entry.index != follower.applied + 1 {
                 continue; // known, or from further on
             }
-            followed.applied = entry.index;
-            match entry.says {
-                Says::Command(bytes) => {
-                    if let Ok(order) = postcard::from_bytes(&bytes) {
-                        followed.agreed.carry_out(entry.index, order);
+            follower.applied = entry.index;
+            match entry.payload {
+                Payload::Command(bytes) => {
+                    if let Ok(command) = postcard::from_bytes(&bytes) {
+                        follower.state.apply(entry.index, command);
                     }
                 }
-                Says::Voters(steps, context) => {
-                    followed.voters.step(&steps);
-                    followed.agreed.rename(&steps, &context);
+                Payload::ChangeVoters(changes, context) => {
+                    follower.voters.apply(&changes);
+                    follower.state.apply_voter_changes(&changes, &context);
                 }
-                Says::Nothing => {}
+                Payload::Empty => {}
             }
         }
-        let after = followed.applied;
+        let after = follower.applied;
         if after > before {
-            self.ask_on(after, out); // there may be more
+            self.send_fetch(after, out); // there may be more
         }
     }
 
     /// Asks one of the voters for what follows, another one each time.
-    fn ask_on(&mut self, after: u64, out: &mut Vec<Output>) {
+    fn send_fetch(&mut self, after: u64, out: &mut Vec<Output>) {
         let (from, log_id) = (self.settings.name.clone(), self.log_id);
         if let Some(name) = self.next_voter() {
-            self.send(name, &Message::Follow { from, log_id, after }, out);
+            self.send(name, &Message::Fetch { from, log_id, after }, out);
         }
     }
 
     fn next_voter(&mut self) -> Option<String> {
         let others: Vec<&String> =
             self.settings.voters.iter().filter(|name| **name != self.settings.name).collect();
-        self.asked = self.asked.wrapping_add(1);
-        others.get(self.asked % others.len().max(1)).map(|name| (*name).clone())
+        self.next_asked = self.next_asked.wrapping_add(1);
+        others.get(self.next_asked % others.len().max(1)).map(|name| (*name).clone())
     }
 
-    fn send_orders(&mut self, out: &mut Vec<Output>) {
-        let numbers: Vec<u64> = self.orders.keys().copied().collect();
-        numbers.into_iter().for_each(|number| self.send_order(number, out));
+    fn send_commands(&mut self, out: &mut Vec<Output>) {
+        let numbers: Vec<u64> = self.pending_commands.keys().copied().collect();
+        numbers.into_iter().for_each(|number| self.send_command(number, out));
     }
 
-    fn send_order(&mut self, number: u64, out: &mut Vec<Output>) {
-        let Some(put) = self.orders.get(&number).cloned() else { return };
-        let order = Command { client: self.settings.client, number, put };
-        let to = match &mut self.stand {
-            Stand::Founding(_) => None,
-            Stand::Votes(voter) => match voter.propose(&order) {
+    fn send_command(&mut self, number: u64, out: &mut Vec<Output>) {
+        let Some(put) = self.pending_commands.get(&number).cloned() else { return };
+        let command = Command { client: self.settings.client, number, put };
+        let to = match &mut self.mode {
+            Mode::Founding(_) => None,
+            Mode::Voting(voter) => match voter.propose(&command) {
                 true => None,
-                false => voter.agreed.names.get(&voter.leader()).cloned(),
+                false => voter.state.names.get(&voter.leader()).cloned(),
             },
-            Stand::Follows(_) => self.next_voter(),
+            Mode::Following(_) => self.next_voter(),
         };
         if let Some(to) = to.filter(|to| *to != self.settings.name) {
-            self.send(to, &Message::Command { order, passed: false }, out);
+            self.send(to, &Message::Command { command, forwarded: false }, out);
         }
     }
 
     fn send(&self, to: String, message: &Message, out: &mut Vec<Output>) {
-        out.push(Output::Send(to, wire::seal(&self.settings.cluster, message)));
+        out.push(Output::Send(to, wire::encode(&self.settings.cluster, message)));
     }
 
-    fn work(&mut self, now: Duration, out: &mut Vec<Output>) {
-        if let Stand::Votes(voter) = &mut self.stand {
-            let mut deeds = Deeds::default();
-            voter.work(now, &mut deeds);
-            self.carry_out(deeds, out);
+    fn process_ready(&mut self, now: Duration, out: &mut Vec<Output>) {
+        if let Mode::Voting(voter) = &mut self.mode {
+            let mut effects = Effects::default();
+            voter.process_ready(now, &mut effects);
+            self.apply_effects(effects, out);
         }
         // Also those that came by a snapshot.
-        let Some(agreed) = self.state() else { return };
-        let ended = |number: &u64| Some((*number, agreed.outcome(self.settings.client, *number)?));
-        let ended: Vec<(u64, Outcome)> = self.orders.keys().filter_map(ended).collect();
-        for (number, outcome) in ended {
-            self.orders.remove(&number);
+        let Some(state) = self.state() else { return };
+        let outcome = |number: &u64| Some((*number, state.outcome(self.settings.client, *number)?));
+        let completed: Vec<(u64, Outcome)> = self.pending_commands.keys().filter_map(outcome).collect();
+        for (number, outcome) in completed {
+            self.pending_commands.remove(&number);
             out.push(Output::Completed(number, outcome));
         }
     }
 
-    fn carry_out(&mut self, deeds: Deeds, out: &mut Vec<Output>) {
-        let Stand::Votes(voter) = &self.stand else { return };
-        for (batch, changes) in deeds.write {
-            out.push(Output::Write(self.batches + batch, changes));
+    fn apply_effects(&mut self, effects: Effects, out: &mut Vec<Output>) {
+        let Mode::Voting(voter) = &self.mode else { return };
+        for (batch, changes) in effects.write {
+            out.push(Output::Write(self.own_batches + batch, changes));
         }
         let mut sent = Vec::new();
-        for says in deeds.send {
-            let name = voter.agreed.names.get(&says.to).or_else(|| self.spoke.get(&says.to));
+        for message in effects.send {
+            let name = voter.state.names.get(&message.to).or_else(|| self.sender_names.get(&message.to));
             if let Some(name) = name.cloned() {
-                let by = self.settings.name.clone();
-                sent.push((name, Message::Vote { log_id: self.log_id, by, says }));
+                let sender = self.settings.name.clone();
+                sent.push((name, Message::Raft { log_id: self.log_id, sender, message }));
             }
         }
         for (name, message) in sent {
@@ -538,7 +543,7 @@
     }
 }
 
-fn granted(name: &str, members: &Members) -> Change {
+fn grant_change(name: &str, members: &Members) -> Change {
     let bytes = postcard::to_stdvec(members).unwrap_or_default(); // writing to memory does not fail
     Change::Grant { name: name.to_owned(), bytes: Some(bytes) }
 }
--- a/src/fleet/log/replicated_state.rs
+++ b/src/fleet/log/replicated_state.rs
@@ -1,6 +1,6 @@
 //! The agreed state: cells that are changed by orders, each applied once however often it comes, in one order for all.
 
-use super::wire::Step;
+use super::wire::VoterChange;
 use crate::fleet::sequence_window::{SequenceWindow, WINDOW};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 /// Bytes of a cell's name and content together.
 pub const MAX_KEY_VALUE_BYTES: usize = 64 << 10;
 /// Clients that are remembered: beyond them the one that has ordered nothing for longest is forgotten.
-const CLIENTS_MOST: usize = 4096;
+const MAX_CLIENTS: usize = 4096;
 
 /// What is to be changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -62,7 +62,8 @@
 struct Client {
     seen: SequenceWindow,
     /// The index of its last order.
-    at: u64,
+    #[serde(rename = "at")]
+    last_index: u64,
     /// What became of its latest, by number: for those that hear of it by a snapshot only.
     outcomes: BTreeMap<u64, Outcome>,
 }
@@ -88,20 +89,20 @@
 
     /// Who votes or learns has changed: what the one that it is about is called, and who has left. By the entry alone, as
     /// those that follow know nothing else of it.
-    pub(super) fn rename(&mut self, steps: &[Step], context: &[u8]) {
+    pub(super) fn apply_voter_changes(&mut self, changes: &[VoterChange], context: &[u8]) {
         if let Ok((id, name)) = postcard::from_bytes::<(u64, String)>(context) {
             self.names.insert(id, name);
         }
-        for step in steps {
-            if let Step::Leaves(id) = step {
+        for change in changes {
+            if let VoterChange::Remove(id) = change {
                 self.names.remove(id);
             }
         }
     }
 
     /// What a cell holds, and since when.
-    pub fn get(&self, name: &str) -> Option<&Value> {
-        self.values.get(name)
+    pub fn get(&self, key: &str) -> Option<&Value> {
+        self.values.get(key)
     }
 
     /// All cells whose names begin so, by name.
@@ -116,8 +117,8 @@
     }
 
     /// Carries out an order; none where it has been before, or is too old to tell.
-    pub(super) fn carry_out(&mut self, index: u64, order: Command) -> Option<Outcome> {
-        let Command { client, number, put } = order;
+    pub(super) fn apply(&mut self, index: u64, command: Command) -> Option<Outcome> {
+        let Command { client, number, put } = command;
         if !self.is_new(index, client, number) {
             return None;
         }
@@ -137,24 +138,25 @@
             return false;
         }
         let client = self.clients.entry(id).or_default();
-        client.at = index;
+        client.last_index = index;
         let new = client.seen.insert(number);
-        if self.clients.len() > CLIENTS_MOST {
-            let quiet = self.clients.iter().min_by_key(|(_, client)| client.at).map(|(id, _)| *id);
-            quiet.and_then(|quiet| self.clients.remove(&quiet));
+        if self.clients.len() > MAX_CLIENTS {
+            let least_recent =
+                self.clients.iter().min_by_key(|(_, client)| client.last_index).map(|(id, _)| *id);
+            least_recent.and_then(|id| self.clients.remove(&id));
         }
         new
     }
 
     fn put(&mut self, index: u64, put: Put) -> Outcome {
         let Put { key, bytes, expected } = put;
-        let now = self.values.get(&key).map_or(0, |value| value.index);
-        if expected.is_some_and(|expected| expected != now) {
-            return Outcome::Changed(now);
+        let current = self.values.get(&key).map_or(0, |value| value.index);
+        if expected.is_some_and(|expected| expected != current) {
+            return Outcome::Changed(current);
         }
         let before = self.values.get(&key).map_or(0, |known| key.len() + known.bytes.len());
         let size = bytes.as_ref().map_or(0, |bytes| key.len() + bytes.len());
-        let fits = now > 0 || self.values.len() < MAX_KEYS;
+        let fits = current > 0 || self.values.len() < MAX_KEYS;
         if size > 0 && (!fits || size > MAX_KEY_VALUE_BYTES || self.size - before + size > MAX_STATE_BYTES)
         {
             return Outcome::TooMuch;
--- a/src/fleet/log/storage.rs
+++ b/src/fleet/log/storage.rs
@@ -1,7 +1,7 @@
 //! What a voter keeps, as the crate reads it: the log as it was written or is being written, and the state that it goes
 //! back to. Every change of it is at once a change for the disk.
 
-use super::wire::{Entry, Says, Snapshot};
+use super::wire::{Entry, Payload, Snapshot};
 use crate::state::memory::{self, Change, Memory, Promise};
 use raft::eraftpb;
 use raft::{GetEntriesContext, RaftState, StorageError};
@@ -22,56 +22,58 @@
 
 /// The log behind a snapshot, and what was promised.
 #[derive(Debug, Default)]
-pub(super) struct Kept {
+pub(super) struct LogStorage {
     promise: Promise,
     snapshot: Snapshot,
     entries: VecDeque<Entry>,
     /// The crate wants a later snapshot, or one in which the asker has a part.
-    wanted: Cell<bool>,
+    snapshot_requested: Cell<bool>,
 }
 
-impl Kept {
-    pub(super) fn of(memory: &Memory) -> Result<Self, LoadError> {
+impl LogStorage {
+    pub(super) fn load(memory: &Memory) -> Result<Self, LoadError> {
         let index = memory.snapshot.index;
         let snapshot = match index {
             0 => Snapshot::default(),
             _ => postcard::from_bytes(&memory.snapshot.bytes).map_err(|_| LoadError::Snapshot(index))?,
         };
         let entries = memory.log.iter().map(|(&index, entry)| {
-            let says: Says = postcard::from_bytes(&entry.bytes).map_err(|_| LoadError::Entry(index))?;
-            Ok(Entry { term: entry.term, index, says })
+            let payload: Payload =
+                postcard::from_bytes(&entry.bytes).map_err(|_| LoadError::Entry(index))?;
+            Ok(Entry { term: entry.term, index, payload })
         });
         let entries = entries.collect::<Result<_, _>>()?;
-        Ok(Kept { promise: memory.promise, snapshot, entries, wanted: Cell::new(false) })
+        Ok(LogStorage { promise: memory.promise, snapshot, entries, snapshot_requested: Cell::new(false) })
     }
 
     pub(super) fn snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
-    pub(super) fn last(&self) -> u64 {
+    pub(super) fn last_stored(&self) -> u64 {
         self.snapshot.index + self.entries.len() as u64
     }
 
     /// What was agreed after an index and up to another, as far as the bytes go; none where it does not go back so far.
-    pub(super) fn tail(&self, after: u64, to: u64, bytes: usize) -> Option<Vec<Entry>> {
+    pub(super) fn entries_between(&self, after: u64, to: u64, max_bytes: usize) -> Option<Vec<Entry>> {
         let skipped = after.checked_sub(self.snapshot.index)? as usize;
-        let mut room = bytes;
+        let mut remaining = max_bytes;
         let fits = |entry: &&Entry| {
-            let size = match &entry.says {
-                Says::Command(bytes) => bytes.len(),
-                Says::Nothing | Says::Voters(..) => 0,
+            let size = match &entry.payload {
+                Payload::Command(bytes) => bytes.len(),
+                Payload::Empty | Payload::ChangeVoters(..) => 0,
             } + 64;
-            let fits = room > 0;
-            room = room.saturating_sub(size);
+            let fits = remaining > 0;
+            remaining = remaining.saturating_sub(size);
             fits
         };
-        let tail = self.entries.iter().skip(skipped).take_while(|entry| entry.index <= to).take_while(fits);
-        Some(tail.cloned().collect())
+        let entries =
+            self.entries.iter().skip(skipped).take_while(|entry| entry.index <= to).take_while(fits);
+        Some(entries.cloned().collect())
     }
 
     /// Takes what the crate wants kept; the same for the disk.
-    pub(super) fn keep(
+    pub(super) fn store(
         &mut self,
         snapshot: Option<Snapshot>,
         entries: Vec<Entry>,
@@ -79,7 +81,7 @@
     ) -> Vec<Change> {
         let mut changes = Vec::new();
         if let Some(snapshot) = snapshot {
-            changes.push(written(&snapshot));
+            changes.push(snapshot_change(&snapshot));
             // What was here beyond it was never agreed.
             changes.push(Change::Log { first: snapshot.index + 1, entries: Vec::new() });
             self.entries.clear();
@@ -87,11 +89,11 @@
         }
         if let Some(first) = entries.first().map(|entry| entry.index) {
             self.entries.truncate((first - self.snapshot.index - 1) as usize);
-            let written = entries.iter().map(|entry| memory::Entry {
+            let stored = entries.iter().map(|entry| memory::Entry {
                 term: entry.term,
-                bytes: postcard::to_stdvec(&entry.says).unwrap_or_default(), // writing to memory does not fail
+                bytes: postcard::to_stdvec(&entry.payload).unwrap_or_default(), // writing to memory does not fail
             });
-            changes.push(Change::Log { first, entries: written.collect() });
+            changes.push(Change::Log { first, entries: stored.collect() });
             self.entries.extend(entries);
         }
         if let Some(promise) = promise {
@@ -105,30 +107,30 @@
     pub(super) fn compact(&mut self, snapshot: Snapshot) -> Change {
         self.entries.drain(..((snapshot.index - self.snapshot.index) as usize).min(self.entries.len()));
         self.snapshot = snapshot;
-        self.wanted.set(false);
-        written(&self.snapshot)
+        self.snapshot_requested.set(false);
+        snapshot_change(&self.snapshot)
     }
 
-    pub(super) fn is_wanted(&self) -> bool {
-        self.wanted.get()
+    pub(super) fn snapshot_requested(&self) -> bool {
+        self.snapshot_requested.get()
     }
 
-    fn at(&self, index: u64) -> Option<&Entry> {
+    fn entry(&self, index: u64) -> Option<&Entry> {
         self.entries.get(index.checked_sub(self.snapshot.index + 1)? as usize)
     }
 }
 
-fn written(snapshot: &Snapshot) -> Change {
+fn snapshot_change(snapshot: &Snapshot) -> Change {
     let bytes = postcard::to_stdvec(snapshot).unwrap_or_default(); // as above
     Change::Snapshot(memory::Snapshot { index: snapshot.index, term: snapshot.term, bytes })
 }
 
-impl raft::Storage for Kept {
+impl raft::Storage for LogStorage {
     fn initial_state(&self) -> raft::Result<RaftState> {
         let Promise { term, vote, commit } = self.promise;
         let hard_state =
             eraftpb::HardState { term, vote: vote.unwrap_or(0), commit, ..eraftpb::HardState::default() };
-        Ok(RaftState { hard_state, conf_state: self.snapshot.voters.clone().into_crate() })
+        Ok(RaftState { hard_state, conf_state: self.snapshot.voters.clone().into_raft() })
     }
 
     fn entries(
@@ -141,11 +143,11 @@
         if low <= self.snapshot.index {
             return Err(raft::Error::Store(StorageError::Compacted));
         }
-        if high > self.last() + 1 {
+        if high > self.last_stored() + 1 {
             return Err(raft::Error::Store(StorageError::Unavailable));
         }
         let mut entries: Vec<_> =
-            (low..high).filter_map(|index| self.at(index).cloned().map(Entry::into_crate)).collect();
+            (low..high).filter_map(|index| self.entry(index).cloned().map(Entry::into_raft)).collect();
         raft::util::limit_size(&mut entries, max_size.into());
         Ok(entries)
     }
@@ -156,7 +158,7 @@
         }
         let error =
             if index < self.snapshot.index { StorageError::Compacted } else { StorageError::Unavailable };
-        self.at(index).map(|entry| entry.term).ok_or(raft::Error::Store(error))
+        self.entry(index).map(|entry| entry.term).ok_or(raft::Error::Store(error))
     }
 
     fn first_index(&self) -> raft::Result<u64> {
@@ -164,14 +166,14 @@
     }
 
     fn last_index(&self) -> raft::Result<u64> {
-        Ok(self.last())
+        Ok(self.last_stored())
     }
 
     fn snapshot(&self, request_index: u64, to: u64) -> raft::Result<eraftpb::Snapshot> {
-        if self.snapshot.index < request_index || !self.snapshot.voters.has_part(to) {
-            self.wanted.set(true);
+        if self.snapshot.index < request_index || !self.snapshot.voters.contains(to) {
+            self.snapshot_requested.set(true);
             return Err(raft::Error::Store(StorageError::SnapshotTemporarilyUnavailable));
         }
-        Ok(self.snapshot.clone().into_crate())
+        Ok(self.snapshot.clone().into_raft())
     }
 }
--- a/src/fleet/log/voter.rs
+++ b/src/fleet/log/voter.rs
@@ -4,8 +4,8 @@
 //! out at once, as its own word for them counts only once they are durable here too.
 
 use super::replicated_state::{Command, Outcome, ReplicatedState};
-use super::storage::{Kept, LoadError};
-use super::wire::{Entry, Said, Says, Snapshot, Step, Voters, change};
+use super::storage::{LoadError, LogStorage};
+use super::wire::{Entry, Payload, RaftMessage, Snapshot, VoterChange, VoterConfig, conf_change};
 use crate::state::memory::{Change, Memory, Promise};
 use raft::{Config, ProgressState, RawNode, SnapshotStatus, StateRole};
 use rand_core::{Rng, SeedableRng};
@@ -14,98 +14,110 @@
 use std::time::Duration;
 
 /// Ticks between a leader's heartbeats.
-const HEARTBEAT: usize = 4;
+const HEARTBEAT_TICKS: usize = 4;
 /// Ticks without a leader before a voter asks for votes, and up to as many more at random: with 25 ms a tick 1 to 2 s.
-const ELECTION: usize = 40;
+const ELECTION_TICKS: usize = 40;
 /// Bytes of entries in one message.
-const MESSAGE_MOST: u64 = 64 << 10;
+const MAX_MESSAGE_BYTES: u64 = 64 << 10;
 /// Messages on their way to one voter before an answer.
-const INFLIGHT: usize = 64;
+const MAX_INFLIGHT_MESSAGES: usize = 64;
 /// Bytes of orders that may wait to be agreed: more are refused.
-const UNCOMMITTED_MOST: u64 = 4 << 20;
+const MAX_UNCOMMITTED_BYTES: u64 = 4 << 20;
 /// Entries behind the agreed state that are kept for those that are behind.
-const TAIL: u64 = 4096;
+const RETAINED_ENTRIES: u64 = 4096;
 /// A leader whose disk has not finished a batch for so long hands over.
-const DISK_PATIENCE: Duration = Duration::from_secs(1);
+const DISK_STALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// A state that a leader has sent and that nobody has confirmed after so long was lost on its way: the crate waits for ever.
-const STATE_LOST: Duration = Duration::from_secs(1);
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(1);
 /// A successor that learns votes once it is no further behind.
-const CAUGHT_UP: u64 = 16;
+const MAX_PROMOTION_LAG: u64 = 16;
 
 /// An outcome of somebody's order.
-pub(super) type Told = (u128, u64, Outcome);
+pub(super) type Completed = (u128, u64, Outcome);
 
 /// What a batch that is being written holds up.
-struct Waiting {
+struct PendingBatch {
     batch: u64,
     ready: u64,
     since: Duration,
-    messages: Vec<Said>,
+    messages: Vec<RaftMessage>,
 }
 
 pub(super) struct Voter {
     id: u64,
-    raw: RawNode<Kept>,
+    raw: RawNode<LogStorage>,
     seed: u64,
     ticks: u64,
-    pub(super) agreed: ReplicatedState,
+    pub(super) state: ReplicatedState,
     /// The index up to which that goes.
     pub(super) applied: u64,
-    waiting: VecDeque<Waiting>,
+    pending: VecDeque<PendingBatch>,
     batch: u64,
     /// Those that would succeed a name, by number.
-    successors: BTreeMap<u64, String>,
+    replacements: BTreeMap<u64, String>,
     /// To whom this leader has sent the state, and when.
-    states_sent: BTreeMap<u64, Duration>,
+    snapshots_sent: BTreeMap<u64, Duration>,
 }
 
 /// What is to be done.
 #[derive(Default)]
-pub(super) struct Deeds {
-    pub(super) send: Vec<Said>,
+pub(super) struct Effects {
+    pub(super) send: Vec<RaftMessage>,
     pub(super) write: Vec<(u64, Vec<Change>)>,
-    pub(super) told: Vec<Told>,
+    pub(super) completed: Vec<Completed>,
 }
 
 impl Voter {
     /// A voter with this memory, which has a snapshot: a founding writes one.
     pub(super) fn new(id: u64, memory: &Memory, seed: u64) -> Result<Self, LoadError> {
-        let kept = Kept::of(memory)?;
-        let Snapshot { index, ref state, .. } = *kept.snapshot();
+        let storage = LogStorage::load(memory)?;
+        let Snapshot { index, ref state, .. } = *storage.snapshot();
         // A successor has nothing yet: all comes from the leader.
-        let agreed = match index {
+        let state = match index {
             0 => ReplicatedState::default(),
             _ => postcard::from_bytes(state).map_err(|_| LoadError::Snapshot(index))?,
         };
         let config = Config {
             id,
-            election_tick: ELECTION,
-            heartbeat_tick: HEARTBEAT,
+            election_tick: ELECTION_TICKS,
+            heartbeat_tick: HEARTBEAT_TICKS,
             applied: index,
-            max_size_per_msg: MESSAGE_MOST,
-            max_inflight_msgs: INFLIGHT,
-            max_uncommitted_size: UNCOMMITTED_MOST,
+            max_size_per_msg: MAX_MESSAGE_BYTES,
+            max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
+            max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
             check_quorum: true,
             pre_vote: true,
             ..Config::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         // It fails for settings that contradict themselves, and these do not.
-        let raw = RawNode::new(&config, kept, &logger).map_err(|_| LoadError::Snapshot(index))?;
-        let (waiting, batch, successors, states_sent) = Default::default();
+        let raw = RawNode::new(&config, storage, &logger).map_err(|_| LoadError::Snapshot(index))?;
+        let (pending, batch, replacements, snapshots_sent) = Default::default();
         let (seed, ticks) = (seed ^ id, 0);
-        let mut voter =
-            Voter { id, raw, seed, ticks, agreed, applied: index, waiting, batch, successors, states_sent };
-        voter.draw();
+        let mut voter = Voter {
+            id,
+            raw,
+            seed,
+            ticks,
+            state,
+            applied: index,
+            pending,
+            batch,
+            replacements,
+            snapshots_sent,
+        };
+        voter.randomize_election_timeout();
         Ok(voter)
     }
 
     /// The crate draws the time to an election from the system, and plays could not be had again: by the seed, the term and
     /// the time passed it is another one for each voter and each try. To be called after whatever may have made it draw.
-    fn draw(&mut self) {
-        let of = [self.seed, self.raw.raft.term, self.ticks / (2 * ELECTION as u64)];
-        let mixed = of.iter().fold(0, |mixed, &part| Pcg32::seed_from_u64(mixed ^ part).next_u64());
-        self.raw.raft.set_randomized_election_timeout(ELECTION + (mixed % ELECTION as u64) as usize);
+    fn randomize_election_timeout(&mut self) {
+        let inputs = [self.seed, self.raw.raft.term, self.ticks / (2 * ELECTION_TICKS as u64)];
+        let mixed = inputs.iter().fold(0, |mixed, &input| Pcg32::seed_from_u64(mixed ^ input).next_u64());
+        self.raw
+            .raft
+            .set_randomized_election_timeout(ELECTION_TICKS + (mixed % ELECTION_TICKS as u64) as usize);
     }
 
     pub(super) fn is_leader(&self) -> bool {
@@ -121,186 +133,193 @@
         self.raw.raft.term
     }
 
-    pub(super) fn voters(&self) -> Voters {
-        Voters::of(&self.raw.raft.prs().conf().to_conf_state())
+    pub(super) fn config(&self) -> VoterConfig {
+        VoterConfig::from_raft(&self.raw.raft.prs().conf().to_conf_state())
     }
 
     /// What was agreed after an index, for one that follows: from the state on where the log does not go back so far.
-    pub(super) fn tail(&mut self, after: u64) -> (Option<Box<Snapshot>>, Vec<Entry>) {
+    pub(super) fn committed_after(&mut self, after: u64) -> (Option<Box<Snapshot>>, Vec<Entry>) {
         let to = self.applied;
-        match self.raw.store().tail(after, to, MESSAGE_MOST as usize) {
+        match self.raw.store().entries_between(after, to, MAX_MESSAGE_BYTES as usize) {
             Some(entries) => (None, entries),
             None => (Some(Box::new(self.snapshot())), Vec::new()),
         }
     }
 
     /// Takes what another voter says.
-    pub(super) fn hear(&mut self, said: Said) {
-        let known = self.raw.raft.prs().get(said.from).is_some() || self.agreed.names.is_empty();
+    pub(super) fn receive(&mut self, message: RaftMessage) {
+        let known = self.raw.raft.prs().get(message.from).is_some() || self.state.names.is_empty();
         let last = self.raw.raft.raft_log.last_index();
-        let Some(message) = said.into_crate() else { return };
+        let Some(message) = message.into_raft() else { return };
         // A leader never tells more to be agreed than it knows its hearer to have: the crate ends the process over that.
-        let sane =
+        let commit_in_range =
             message.commit <= last || message.get_msg_type() != raft::prelude::MessageType::MsgHeartbeat;
-        if known && sane {
+        if known && commit_in_range {
             let _ = self.raw.step(message); // an error: from one that has no part any more
-            self.draw();
+            self.randomize_election_timeout();
         }
     }
 
     pub(super) fn tick(&mut self, now: Duration) {
         self.raw.tick();
         self.ticks += 1;
-        self.draw();
-        let stuck = self.waiting.front().is_some_and(|first| now >= first.since + DISK_PATIENCE);
+        self.randomize_election_timeout();
+        let stuck = self.pending.front().is_some_and(|first| now >= first.since + DISK_STALL_TIMEOUT);
         if stuck && self.is_leader() && self.raw.raft.lead_transferee.is_none() {
             let raft = &self.raw.raft;
-            let voters = self.voters().voters.into_iter().filter(|id| *id != self.id);
+            let voters = self.config().voters.into_iter().filter(|id| *id != self.id);
             let best = voters.max_by_key(|id| raft.prs().get(*id).map_or(0, |progress| progress.matched));
             if let Some(best) = best {
                 self.raw.transfer_leader(best);
             }
         }
         if self.is_leader() {
-            self.send_states_again(now);
-            self.succeed();
+            self.resend_lost_snapshots(now);
+            self.promote_replacements();
         }
     }
 
-    fn send_states_again(&mut self, now: Duration) {
+    fn resend_lost_snapshots(&mut self, now: Duration) {
         let progress = self.raw.raft.prs().iter();
         let sent: Vec<u64> = progress
             .filter(|(_, progress)| progress.state == ProgressState::Snapshot)
             .map(|(id, _)| *id)
             .collect();
-        self.states_sent.retain(|id, _| sent.contains(id));
+        self.snapshots_sent.retain(|id, _| sent.contains(id));
         for id in sent {
-            if now >= *self.states_sent.entry(id).or_insert(now) + STATE_LOST {
-                self.states_sent.remove(&id);
+            if now >= *self.snapshots_sent.entry(id).or_insert(now) + SNAPSHOT_TIMEOUT {
+                self.snapshots_sent.remove(&id);
                 self.raw.report_snapshot(id, SnapshotStatus::Failure);
             }
         }
     }
 
     /// Proposes an order; whether it was taken: only a leader does, and not more than fits.
-    pub(super) fn propose(&mut self, order: &Command) -> bool {
-        let bytes = postcard::to_stdvec(order).unwrap_or_default(); // writing to memory does not fail
+    pub(super) fn propose(&mut self, command: &Command) -> bool {
+        let bytes = postcard::to_stdvec(command).unwrap_or_default(); // writing to memory does not fail
         self.is_leader() && self.raw.propose(Vec::new(), bytes).is_ok()
     }
 
     /// Notes who would succeed a voter of its name.
-    pub(super) fn note_successor(&mut self, name: String, id: u64) {
-        if self.agreed.names.values().any(|known| *known == name) && !self.voters().votes(id) {
-            self.successors.retain(|_, known| *known != name);
-            self.successors.insert(id, name);
+    pub(super) fn note_replacement(&mut self, name: String, id: u64) {
+        if self.state.names.values().any(|known| *known == name) && !self.config().is_voter(id) {
+            self.replacements.retain(|_, known| *known != name);
+            self.replacements.insert(id, name);
         }
     }
 
     /// Lets successors learn, and vote in the place of those that they succeed once they have caught up.
-    fn succeed(&mut self) {
-        if self.raw.raft.has_pending_conf() || !self.voters().outgoing.is_empty() {
+    fn promote_replacements(&mut self) {
+        if self.raw.raft.has_pending_conf() || !self.config().outgoing.is_empty() {
             return; // one change after another
         }
-        let voters = self.voters();
-        self.successors.retain(|id, _| !voters.votes(*id));
-        let Some((&id, name)) = self.successors.first_key_value() else { return };
+        let config = self.config();
+        self.replacements.retain(|id, _| !config.is_voter(*id));
+        let Some((&id, name)) = self.replacements.first_key_value() else { return };
         let context = postcard::to_stdvec(&(id, name)).unwrap_or_default(); // as above
-        let steps = if voters.learners.contains(&id) {
+        let changes = if config.learners.contains(&id) {
             let matched = self.raw.raft.prs().get(id).map_or(0, |progress| progress.matched);
-            if matched == 0 || matched + CAUGHT_UP < self.raw.raft.raft_log.committed {
+            if matched == 0 || matched + MAX_PROMOTION_LAG < self.raw.raft.raft_log.committed {
                 return;
             }
-            let named = |id: &&u64| self.agreed.names.get(id) == Some(name);
-            let before = voters.voters.iter().find(named);
-            before.map(|before| Step::Leaves(*before)).into_iter().chain([Step::Votes(id)]).collect()
+            let named = |id: &&u64| self.state.names.get(id) == Some(name);
+            let before = config.voters.iter().find(named);
+            before
+                .map(|before| VoterChange::Remove(*before))
+                .into_iter()
+                .chain([VoterChange::AddVoter(id)])
+                .collect()
         } else {
-            vec![Step::Learns(id)]
+            vec![VoterChange::AddLearner(id)]
         };
-        let _ = self.raw.propose_conf_change(context, change(&steps)); // an error: it is tried again
+        let _ = self.raw.propose_conf_change(context, conf_change(&changes)); // an error: it is tried again
     }
 
     /// Everything up to this batch is durable.
-    pub(super) fn durable(&mut self, batch: u64, deeds: &mut Deeds) {
-        while self.waiting.front().is_some_and(|first| first.batch <= batch) {
-            let Some(waiting) = self.waiting.pop_front() else { break };
-            self.raw.on_persist_ready(waiting.ready);
-            deeds.send.extend(waiting.messages);
+    pub(super) fn durable(&mut self, batch: u64, effects: &mut Effects) {
+        while self.pending.front().is_some_and(|first| first.batch <= batch) {
+            let Some(pending) = self.pending.pop_front() else { break };
+            self.raw.on_persist_ready(pending.ready);
+            effects.send.extend(pending.messages);
         }
-        self.say_applied();
+        self.report_applied();
     }
 
     /// Carries out what the crate wants done.
-    pub(super) fn work(&mut self, now: Duration, deeds: &mut Deeds) {
+    pub(super) fn process_ready(&mut self, now: Duration, effects: &mut Effects) {
         while self.raw.has_ready() {
             let mut ready = self.raw.ready();
-            deeds.send.extend(ready.take_messages().into_iter().filter_map(Said::of));
-            let snapshot = (!ready.snapshot().is_empty()).then(|| Snapshot::of(ready.snapshot().clone()));
+            effects.send.extend(ready.take_messages().into_iter().filter_map(RaftMessage::from_raft));
+            let snapshot =
+                (!ready.snapshot().is_empty()).then(|| Snapshot::from_raft(ready.snapshot().clone()));
             if let Some(snapshot) = &snapshot
-                && let Ok(agreed) = postcard::from_bytes(&snapshot.state)
+                && let Ok(state) = postcard::from_bytes(&snapshot.state)
             {
-                (self.agreed, self.applied) = (agreed, snapshot.index);
+                (self.state, self.applied) = (state, snapshot.index);
             }
             let committed = ready.take_committed_entries();
-            let entries = ready.take_entries().into_iter().filter_map(Entry::of).collect();
-            let promise = ready.hs().map(|hard| Promise {
-                term: hard.term,
-                vote: Some(hard.vote).filter(|vote| *vote != 0),
-                commit: hard.commit,
+            let entries = ready.take_entries().into_iter().filter_map(Entry::from_raft).collect();
+            let promise = ready.hs().map(|hard_state| Promise {
+                term: hard_state.term,
+                vote: Some(hard_state.vote).filter(|vote| *vote != 0),
+                commit: hard_state.commit,
             });
-            let changes = self.raw.mut_store().keep(snapshot, entries, promise);
-            let messages: Vec<Said> =
-                ready.take_persisted_messages().into_iter().filter_map(Said::of).collect();
+            let changes = self.raw.mut_store().store(snapshot, entries, promise);
+            let messages: Vec<RaftMessage> =
+                ready.take_persisted_messages().into_iter().filter_map(RaftMessage::from_raft).collect();
             let number = ready.number();
             self.raw.advance_append_async(ready);
-            if changes.is_empty() && self.waiting.is_empty() {
+            if changes.is_empty() && self.pending.is_empty() {
                 self.raw.on_persist_ready(number);
-                deeds.send.extend(messages);
+                effects.send.extend(messages);
             } else {
-                let batch = if changes.is_empty() { self.batch } else { self.write(changes, deeds) };
-                self.waiting.push_back(Waiting { batch, ready: number, since: now, messages });
+                let batch = if changes.is_empty() { self.batch } else { self.write(changes, effects) };
+                self.pending.push_back(PendingBatch { batch, ready: number, since: now, messages });
             }
-            for entry in committed.into_iter().filter_map(Entry::of) {
-                self.apply(entry, deeds);
+            for entry in committed.into_iter().filter_map(Entry::from_raft) {
+                self.apply(entry, effects);
             }
-            self.say_applied();
-            self.draw();
+            self.report_applied();
+            self.randomize_election_timeout();
         }
         let behind = self.applied - self.raw.store().snapshot().index;
-        if (behind > 2 * TAIL || self.raw.store().is_wanted() && behind > 0) && self.waiting.is_empty() {
+        if (behind > 2 * RETAINED_ENTRIES || self.raw.store().snapshot_requested() && behind > 0)
+            && self.pending.is_empty()
+        {
             let snapshot = self.snapshot();
             let change = self.raw.mut_store().compact(snapshot);
-            self.write(vec![change], deeds);
+            self.write(vec![change], effects);
         }
     }
 
     /// The crate is told what was applied once that is durable: the state that a leader sends is applied before.
-    fn say_applied(&mut self) {
+    fn report_applied(&mut self) {
         let log = &self.raw.raft.raft_log;
         if self.applied > log.applied && self.applied <= log.persisted {
             self.raw.advance_apply_to(self.applied);
         }
     }
 
-    fn write(&mut self, changes: Vec<Change>, deeds: &mut Deeds) -> u64 {
+    fn write(&mut self, changes: Vec<Change>, effects: &mut Effects) -> u64 {
         self.batch += 1;
-        deeds.write.push((self.batch, changes));
+        effects.write.push((self.batch, changes));
         self.batch
     }
 
-    fn apply(&mut self, entry: Entry, deeds: &mut Deeds) {
+    fn apply(&mut self, entry: Entry, effects: &mut Effects) {
         self.applied = entry.index;
-        match entry.says {
-            Says::Nothing => {}
-            Says::Command(bytes) => {
-                let Ok(order) = postcard::from_bytes::<Command>(&bytes) else { return };
-                let (client, number) = (order.client, order.number);
-                if let Some(outcome) = self.agreed.carry_out(entry.index, order) {
-                    deeds.told.push((client, number, outcome));
+        match entry.payload {
+            Payload::Empty => {}
+            Payload::Command(bytes) => {
+                let Ok(command) = postcard::from_bytes::<Command>(&bytes) else { return };
+                let (client, number) = (command.client, command.number);
+                if let Some(outcome) = self.state.apply(entry.index, command) {
+                    effects.completed.push((client, number, outcome));
                 }
             }
-            Says::Voters(steps, context) => {
-                let _ = self.raw.apply_conf_change(&change(&steps)); // an error: no voter would be left
-                self.agreed.rename(&steps, &context);
+            Payload::ChangeVoters(changes, context) => {
+                let _ = self.raw.apply_conf_change(&conf_change(&changes)); // an error: no voter would be left
+                self.state.apply_voter_changes(&changes, &context);
             }
         }
     }
@@ -308,7 +327,7 @@
     fn snapshot(&self) -> Snapshot {
         let index = self.applied;
         let term = raft::Storage::term(self.raw.store(), index).unwrap_or_default();
-        let state = postcard::to_stdvec(&self.agreed).unwrap_or_default(); // writing to memory does not fail
-        Snapshot { index, term, voters: self.voters(), state }
+        let state = postcard::to_stdvec(&self.state).unwrap_or_default(); // writing to memory does not fail
+        Snapshot { index, term, voters: self.config(), state }
     }
 }
--- a/src/fleet/log/wire.rs
+++ b/src/fleet/log/wire.rs
@@ -32,25 +32,31 @@
     /// Before there is a log: who would found it, and what each has promised.
     Founding(Founding),
     /// Between voters of one founding.
-    Vote {
+    #[serde(rename = "Vote")]
+    Raft {
         /// Which founding: votes of another are not heard.
         #[serde(rename = "history")]
         log_id: u64,
         /// The name of who speaks: one that learns knows nobody yet.
-        by: String,
+        #[serde(rename = "by")]
+        sender: String,
         /// What is said.
-        says: Said,
+        #[serde(rename = "says")]
+        message: RaftMessage,
     },
     /// An order on its way to the leader.
     #[serde(rename = "Order")]
     Command {
         /// What is to be done.
-        order: super::Command,
+        #[serde(rename = "order")]
+        command: super::Command,
         /// A voter has passed it on: it goes no further than the next one.
-        passed: bool,
+        #[serde(rename = "passed")]
+        forwarded: bool,
     },
     /// A process that is no voter asks for what was agreed after an index.
-    Follow {
+    #[serde(rename = "Follow")]
+    Fetch {
         /// The name of who asks.
         from: String,
         /// Which founding it knows; 0 for none yet.
@@ -71,7 +77,8 @@
         entries: Vec<Entry>,
     },
     /// A process asks to take the place of the voter of its name, whose memory it has lost.
-    Succeed {
+    #[serde(rename = "Succeed")]
+    ReplaceVoter {
         /// The name that both have.
         name: String,
         /// The number of the one that asks.
@@ -81,7 +88,7 @@
 
 /// What a voter says to another, as the crate means it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Said {
+pub struct RaftMessage {
     kind: u8,
     pub(super) to: u64,
     pub(super) from: u64,
@@ -107,35 +114,41 @@
     /// Its place, from 1.
     pub index: u64,
     /// What it says.
-    pub says: Says,
+    #[serde(rename = "says")]
+    pub payload: Payload,
 }
 
 /// What an entry says.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Says {
+pub enum Payload {
     /// Nothing: a leader begins its term so.
-    Nothing,
+    #[serde(rename = "Nothing")]
+    Empty,
     /// An order, encoded.
     #[serde(rename = "Order")]
     Command(Vec<u8>),
     /// Who votes, changed; none to leave the joint rule of two sets.
-    Voters(Vec<Step>, Vec<u8>),
+    #[serde(rename = "Voters")]
+    ChangeVoters(Vec<VoterChange>, Vec<u8>),
 }
 
 /// A step of a change of voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Step {
+pub enum VoterChange {
     /// It votes.
-    Votes(u64),
+    #[serde(rename = "Votes")]
+    AddVoter(u64),
     /// It learns, and does not vote.
-    Learns(u64),
+    #[serde(rename = "Learns")]
+    AddLearner(u64),
     /// It is no part of it any more.
-    Leaves(u64),
+    #[serde(rename = "Leaves")]
+    Remove(u64),
 }
 
 /// Who votes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Voters {
+pub struct VoterConfig {
     /// Their numbers.
     pub voters: Vec<u64>,
     /// Those that learn.
@@ -156,18 +169,18 @@
     /// That entry's term.
     pub term: u64,
     /// Who voted then.
-    pub voters: Voters,
+    pub voters: VoterConfig,
     /// The state.
     pub state: Vec<u8>,
 }
 
 /// Seals a message for others of this cluster.
-pub fn seal(cluster: &str, message: &Message) -> Vec<u8> {
+pub fn encode(cluster: &str, message: &Message) -> Vec<u8> {
     record::seal(cluster, message).unwrap_or_default() // writing to memory does not fail
 }
 
 /// Opens a frame as it came.
-pub fn open(cluster: &str, frame: &[u8]) -> Result<Message, FrameError> {
+pub fn decode(cluster: &str, frame: &[u8]) -> Result<Message, FrameError> {
     record::open(cluster, frame).map_err(|fault| match fault {
         RecordFault::Damaged(_) => FrameError::Corrupt,
         RecordFault::Newer { .. } => FrameError::Newer,
@@ -175,22 +188,22 @@
     })
 }
 
-impl Said {
+impl RaftMessage {
     /// From the crate's form; none for what is said inside a process only, or can't be told.
-    pub(super) fn of(mut message: eraftpb::Message) -> Option<Self> {
-        let kind = KINDS.iter().position(|kind| *kind == message.get_msg_type())? as u8;
+    pub(super) fn from_raft(mut message: eraftpb::Message) -> Option<Self> {
+        let kind = MESSAGE_TYPES.iter().position(|known| *known == message.get_msg_type())? as u8;
         let snapshot = message.has_snapshot() && message.get_snapshot().get_metadata().index > 0;
-        Some(Said {
+        Some(RaftMessage {
             kind,
             to: message.to,
             from: message.from,
             term: message.term,
             log_term: message.log_term,
             index: message.index,
-            entries: message.take_entries().into_iter().map(Entry::of).collect::<Option<_>>()?,
+            entries: message.take_entries().into_iter().map(Entry::from_raft).collect::<Option<_>>()?,
             commit: message.commit,
             commit_term: message.commit_term,
-            snapshot: snapshot.then(|| Box::new(Snapshot::of(message.take_snapshot()))),
+            snapshot: snapshot.then(|| Box::new(Snapshot::from_raft(message.take_snapshot()))),
             request_snapshot: message.request_snapshot,
             reject: message.reject,
             reject_hint: message.reject_hint,
@@ -199,19 +212,19 @@
         })
     }
 
-    pub(super) fn into_crate(self) -> Option<eraftpb::Message> {
+    pub(super) fn into_raft(self) -> Option<eraftpb::Message> {
         let mut message = eraftpb::Message::default();
-        message.set_msg_type(*KINDS.get(usize::from(self.kind))?);
+        message.set_msg_type(*MESSAGE_TYPES.get(usize::from(self.kind))?);
         message.to = self.to;
         message.from = self.from;
         message.term = self.term;
         message.log_term = self.log_term;
         message.index = self.index;
-        message.set_entries(self.entries.into_iter().map(Entry::into_crate).collect());
+        message.set_entries(self.entries.into_iter().map(Entry::into_raft).collect());
         message.commit = self.commit;
         message.commit_term = self.commit_term;
         if let Some(snapshot) = self.snapshot {
-            message.set_snapshot(snapshot.into_crate());
+            message.set_snapshot(snapshot.into_raft());
         }
         message.request_snapshot = self.request_snapshot;
         message.reject = self.reject;
@@ -223,7 +236,7 @@
 }
 
 /// What voters say to each other, by its place here on the wire. Anything else is local to a process.
-const KINDS: [eraftpb::MessageType; 10] = {
+const MESSAGE_TYPES: [eraftpb::MessageType; 10] = {
     use eraftpb::MessageType::*;
     [
         MsgAppend,
@@ -241,34 +254,34 @@
 
 impl Entry {
     /// From the crate's form; none where it is none of ours.
-    pub(super) fn of(entry: eraftpb::Entry) -> Option<Self> {
+    pub(super) fn from_raft(entry: eraftpb::Entry) -> Option<Self> {
         let (term, index) = (entry.term, entry.index);
-        let says = match entry.get_entry_type() {
-            EntryType::EntryNormal if entry.data.is_empty() => Says::Nothing,
-            EntryType::EntryNormal => Says::Command(entry.data.to_vec()),
+        let payload = match entry.get_entry_type() {
+            EntryType::EntryNormal if entry.data.is_empty() => Payload::Empty,
+            EntryType::EntryNormal => Payload::Command(entry.data.to_vec()),
             EntryType::EntryConfChangeV2 => {
                 // Made by this process a moment ago: the crate keeps it in its own form.
                 let change = <ConfChangeV2 as protobuf::Message>::parse_from_bytes(&entry.data).ok()?;
-                let steps = change.changes.iter().map(|change| match change.get_change_type() {
-                    ConfChangeType::AddNode => Step::Votes(change.node_id),
-                    ConfChangeType::AddLearnerNode => Step::Learns(change.node_id),
-                    ConfChangeType::RemoveNode => Step::Leaves(change.node_id),
+                let changes = change.changes.iter().map(|change| match change.get_change_type() {
+                    ConfChangeType::AddNode => VoterChange::AddVoter(change.node_id),
+                    ConfChangeType::AddLearnerNode => VoterChange::AddLearner(change.node_id),
+                    ConfChangeType::RemoveNode => VoterChange::Remove(change.node_id),
                 });
-                Says::Voters(steps.collect(), entry.context.to_vec())
+                Payload::ChangeVoters(changes.collect(), entry.context.to_vec())
             }
             EntryType::EntryConfChange => return None,
         };
-        Some(Entry { term, index, says })
+        Some(Entry { term, index, payload })
     }
 
-    pub(super) fn into_crate(self) -> eraftpb::Entry {
+    pub(super) fn into_raft(self) -> eraftpb::Entry {
         let mut entry = eraftpb::Entry { term: self.term, index: self.index, ..eraftpb::Entry::default() };
-        match self.says {
-            Says::Nothing => {}
-            Says::Command(bytes) => entry.data = bytes.into(),
-            Says::Voters(steps, context) => {
+        match self.payload {
+            Payload::Empty => {}
+            Payload::Command(bytes) => entry.data = bytes.into(),
+            Payload::ChangeVoters(changes, context) => {
                 entry.set_entry_type(EntryType::EntryConfChangeV2);
-                let change = change(&steps);
+                let change = conf_change(&changes);
                 // Writing to memory does not fail.
                 entry.data = protobuf::Message::write_to_bytes(&change).unwrap_or_default().into();
                 entry.context = context.into();
@@ -279,14 +292,14 @@
 }
 
 /// A change of voters in the crate's form. Of more than one step it passes through both sets, each with a majority.
-pub(super) fn change(steps: &[Step]) -> ConfChangeV2 {
+pub(super) fn conf_change(changes: &[VoterChange]) -> ConfChangeV2 {
     let mut change = ConfChangeV2::default();
     change.set_transition(ConfChangeTransition::Auto);
-    let singles = steps.iter().map(|step| {
-        let (kind, id) = match *step {
-            Step::Votes(id) => (ConfChangeType::AddNode, id),
-            Step::Learns(id) => (ConfChangeType::AddLearnerNode, id),
-            Step::Leaves(id) => (ConfChangeType::RemoveNode, id),
+    let singles = changes.iter().map(|change| {
+        let (kind, id) = match *change {
+            VoterChange::AddVoter(id) => (ConfChangeType::AddNode, id),
+            VoterChange::AddLearner(id) => (ConfChangeType::AddLearnerNode, id),
+            VoterChange::Remove(id) => (ConfChangeType::RemoveNode, id),
         };
         let mut single = ConfChangeSingle::default();
         single.set_change_type(kind);
@@ -297,9 +310,9 @@
     change
 }
 
-impl Voters {
-    pub(super) fn of(state: &eraftpb::ConfState) -> Self {
-        Voters {
+impl VoterConfig {
+    pub(super) fn from_raft(state: &eraftpb::ConfState) -> Self {
+        VoterConfig {
             voters: state.voters.clone(),
             learners: state.learners.clone(),
             outgoing: state.voters_outgoing.clone(),
@@ -308,7 +321,7 @@
         }
     }
 
-    pub(super) fn into_crate(self) -> eraftpb::ConfState {
+    pub(super) fn into_raft(self) -> eraftpb::ConfState {
         let mut state = eraftpb::ConfState::default();
         state.set_voters(self.voters);
         state.set_learners(self.learners);
@@ -319,45 +332,46 @@
     }
 
     /// Follows a change that was agreed, as far as one that does not vote has to know of it.
-    pub(super) fn step(&mut self, steps: &[Step]) {
-        for step in steps {
-            let (Step::Votes(id) | Step::Learns(id) | Step::Leaves(id)) = *step;
+    pub(super) fn apply(&mut self, changes: &[VoterChange]) {
+        for change in changes {
+            let (VoterChange::AddVoter(id) | VoterChange::AddLearner(id) | VoterChange::Remove(id)) =
+                *change;
             [&mut self.voters, &mut self.learners]
                 .into_iter()
                 .for_each(|set| set.retain(|known| *known != id));
-            match step {
-                Step::Votes(id) => self.voters.push(*id),
-                Step::Learns(id) => self.learners.push(*id),
-                Step::Leaves(_) => {}
+            match change {
+                VoterChange::AddVoter(id) => self.voters.push(*id),
+                VoterChange::AddLearner(id) => self.learners.push(*id),
+                VoterChange::Remove(_) => {}
             }
         }
     }
 
     /// Whether this one has a part: it votes, or learns.
-    pub(super) fn has_part(&self, id: u64) -> bool {
+    pub(super) fn contains(&self, id: u64) -> bool {
         let sets = [&self.voters, &self.learners, &self.outgoing, &self.learners_next];
         sets.iter().any(|set| set.contains(&id))
     }
 
     /// Whether this one votes, now or while a change is under way.
-    pub fn votes(&self, id: u64) -> bool {
+    pub fn is_voter(&self, id: u64) -> bool {
         self.voters.contains(&id) || self.outgoing.contains(&id)
     }
 }
 
 impl Snapshot {
-    pub(super) fn of(mut snapshot: eraftpb::Snapshot) -> Self {
+    pub(super) fn from_raft(mut snapshot: eraftpb::Snapshot) -> Self {
         let state = snapshot.take_data().to_vec();
         let metadata = snapshot.get_metadata();
-        let voters = Voters::of(metadata.get_conf_state());
+        let voters = VoterConfig::from_raft(metadata.get_conf_state());
         Snapshot { index: metadata.index, term: metadata.term, voters, state }
     }
 
-    pub(super) fn into_crate(self) -> eraftpb::Snapshot {
+    pub(super) fn into_raft(self) -> eraftpb::Snapshot {
         let mut snapshot = eraftpb::Snapshot::default();
         let metadata = snapshot.mut_metadata();
         (metadata.index, metadata.term) = (self.index, self.term);
-        metadata.set_conf_state(self.voters.into_crate());
+        metadata.set_conf_state(self.voters.into_raft());
         snapshot.data = self.state.into();
         snapshot
     }
