--- a/src/lib.rs
+++ b/src/lib.rs
@@ -37,4 +37,6 @@
 pub use api::*;
 pub use connection::{TcpConnection, is_local};
 pub use names::EndpointNames;
-pub use policy::{Balancer, Continuity, DiscoverySchedule, LISTING_DELAY, LeaseEnd, LeaseTerm, ListLease};
+pub use policy::{
+    Balancer, Continuity, DiscoverySchedule, LISTING_DELAY, LeaseEnd, LeaseEndReason, ListLease,
+};
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -187,7 +187,7 @@
         // has written counts at once.
         self.previous_address_watches.borrow_mut().append(&mut self.watches.borrow_mut());
         self.send_update(ListUpdate::of(Membership::Moved));
-        self.schedule.borrow_mut().moved(self.started.elapsed());
+        self.schedule.borrow_mut().on_address_change(self.started.elapsed());
         self.plan_call(Some(Duration::ZERO));
     }
 
@@ -218,7 +218,7 @@
             this.watches.borrow_mut().retain(|watch| watch.number != number);
             let failure = end.failure(started.elapsed());
             let silent_for = this.report_failure(&end.to_string(), failure);
-            let wait = this.schedule.borrow_mut().failed(this.started.elapsed(), silent_for, failure);
+            let wait = this.schedule.borrow_mut().on_failure(this.started.elapsed(), silent_for, failure);
             this.plan_call(Some(wait));
         });
         self.watches.borrow_mut().push(Watch { number, _task: Guard::new(task.abort_handle()) });
@@ -234,7 +234,7 @@
                 () = self.call_rescheduled.notified() => {}
                 () = async { sleep_until(due.unwrap_or_else(Instant::now)).await }, if due.is_some() => {
                     self.open_watch();
-                    let second_call_wait = self.schedule.borrow_mut().called(self.started.elapsed());
+                    let second_call_wait = self.schedule.borrow_mut().on_call_start(self.started.elapsed());
                     self.plan_call(second_call_wait);
                 }
             }
@@ -364,8 +364,8 @@
         self.outdated_since.set(None);
         self.list_received.set(true);
         match confirmed {
-            true => self.schedule.borrow_mut().heard(self.started.elapsed()),
-            false => self.schedule.borrow_mut().watch_opened(self.started.elapsed()),
+            true => self.schedule.borrow_mut().on_list_update(self.started.elapsed()),
+            false => self.schedule.borrow_mut().on_unconfirmed_list(self.started.elapsed()),
         }
         self.plan_call(None);
         self.last_failure.take();
@@ -390,7 +390,7 @@
     fn confirm(&self) {
         self.move_unconfirmed.set(false);
         self.previous_address_watches.take();
-        self.schedule.borrow_mut().heard(self.started.elapsed());
+        self.schedule.borrow_mut().on_list_update(self.started.elapsed());
         info!(rev = self.rev.get(), "list: confirmed at discovery's new address");
         self.send_update(ListUpdate::unchanged());
     }
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -156,7 +156,7 @@
             }
             Input::List(news) => {
                 self.list(news);
-                let holds = self.balancer.list_holds(self.clock.now());
+                let holds = self.balancer.list_lease_valid(self.clock.now());
                 self.around.list_holds.send_if_modified(|told| std::mem::replace(told, holds) != holds);
             }
             // Who asked may have gone by now.
--- a/src/policy/choice.rs
+++ b/src/policy/choice.rs
@@ -81,10 +81,10 @@
     /// doubted those that take calls, or, where there are none, those that have not refused the last one.
     fn list_trust(&self, now: Duration) -> ListTrust {
         let lease = self.schedule.lease();
-        if !lease.holds(now) {
-            return ListTrust::Unbroken { since: lease.complete() };
+        if !lease.is_valid(now) {
+            return ListTrust::Unbroken { since: lease.complete_until() };
         }
-        if !lease.is_doubted(now) {
+        if !lease.may_be_stale(now) {
             return ListTrust::Listed;
         }
         let proof = self.schedule.proof();
--- a/src/policy/discovery_schedule.rs
+++ b/src/policy/discovery_schedule.rs
@@ -14,7 +14,7 @@
 //! pause is shorter than the wait for an answer, a second call goes out beside one that is silent, and the
 //! first list to come ends the other.
 
-use super::list_lease::{ListLease, WatchWord};
+use super::list_lease::{ListLease, WatchMessage};
 use crate::stats::Draws;
 use crate::{Discovery, DiscoveryFailure, Settings};
 use std::time::Duration;
@@ -111,7 +111,7 @@
 
     /// How long to wait before the first call; no time beside an older process of this balancer, which
     /// clients are to leave for this one, nor beside an agent.
-    pub fn first(&self, beside: bool) -> Duration {
+    pub fn first_call_delay(&self, beside: bool) -> Duration {
         match self.mode {
             Discovery::Ask if !beside => self.first,
             _ => Duration::ZERO,
@@ -120,7 +120,7 @@
 
     /// A call begins: how long to wait before another beside it, should neither list nor failure come; none
     /// where no further one may be out.
-    pub fn called(&mut self, now: Duration) -> Option<Duration> {
+    pub fn on_call_start(&mut self, now: Duration) -> Option<Duration> {
         self.calls_out += 1;
         let beside = (self.few && self.calls_out < CALLS_OUT).then_some(self.pause);
         self.planned = beside.map(|wait| now + wait);
@@ -128,41 +128,46 @@
     }
 
     /// A watch is up, has told a list that says something new, and all other calls are over.
-    pub fn heard(&mut self, now: Duration) {
-        self.watch_told(now, WatchWord::News);
+    pub fn on_list_update(&mut self, now: Duration) {
+        self.on_watch_message(now, WatchMessage::ListUpdate);
     }
 
     /// The same, where what it told held nothing newer than the list before.
-    pub fn heard_nothing_newer(&mut self, now: Duration) {
-        self.watch_told(now, WatchWord::NothingNew);
+    pub fn on_unchanged_list(&mut self, now: Duration) {
+        self.on_watch_message(now, WatchMessage::NoChange);
     }
 
     /// The same at an address that discovery has moved to: it has yet to show that it tells what discovery
     /// has.
-    pub fn watch_opened(&mut self, now: Duration) {
-        self.watch_told(now, WatchWord::NotConfirmed);
+    pub fn on_unconfirmed_list(&mut self, now: Duration) {
+        self.on_watch_message(now, WatchMessage::Unconfirmed);
     }
 
-    fn watch_told(&mut self, now: Duration, word: WatchWord) {
-        self.lease.watch_told(now, word);
+    fn on_watch_message(&mut self, now: Duration, message: WatchMessage) {
+        self.lease.on_watch_message(now, message);
         (self.watched, self.calls_out, self.planned) = (true, 0, None);
     }
 
     /// Discovery is at another address from now on, and is to be called there at once; calls at the old one
     /// are over.
-    pub fn moved(&mut self, now: Duration) {
-        self.lease.discovery_moved(now);
+    pub fn on_address_change(&mut self, now: Duration) {
+        self.lease.on_address_change(now);
         (self.watched, self.calls_out, self.planned) = (false, 0, None);
     }
 
     /// A call failed, or the watch is over, on which nothing had come for `silent_for`: how long to wait
     /// before the next call.
-    pub fn failed(&mut self, now: Duration, silent_for: Duration, failure: DiscoveryFailure) -> Duration {
+    pub fn on_failure(
+        &mut self,
+        now: Duration,
+        silent_for: Duration,
+        failure: DiscoveryFailure,
+    ) -> Duration {
         let watched = std::mem::replace(&mut self.watched, false);
         self.calls_out = if watched { 0 } else { self.calls_out.saturating_sub(1) };
-        self.lease.watch_ended(now, silent_for);
+        self.lease.on_watch_end(now, silent_for);
         if !watched {
-            self.lease.call_failed(now, failure);
+            self.lease.on_call_failure(now, failure);
         }
         let due = now + self.wait_after(now, watched, failure);
         // Beside another call: its failure puts off nothing that was planned after this one's.
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -39,7 +39,7 @@
         }
         // From before the end of the lease on: only what is seen without a break is sent to after it.
         let lease = self.schedule.lease();
-        if let Some((end, complete)) = lease.end().zip(lease.complete())
+        if let Some((end, complete)) = lease.end().zip(lease.complete_until())
             && now + ASKED_BEFORE_END >= end.at
         {
             self.probe_for_health(now, complete, out);
--- a/src/policy/list.rs
+++ b/src/policy/list.rs
@@ -61,7 +61,7 @@
         let cached = matches!(news, Membership::Cached(_));
         match news {
             Membership::Failed { silent_for, failure } => {
-                let wait = self.schedule.failed(now, silent_for, failure);
+                let wait = self.schedule.on_failure(now, silent_for, failure);
                 if self.settings.discovery == Discovery::Ask {
                     out.push(Action::Log(format!("discovery: {failure:?}, next call in {wait:.2?}")));
                     self.call_discovery_after(wait, out);
@@ -69,7 +69,7 @@
                 return;
             }
             Membership::Moved => {
-                self.schedule.moved(now);
+                self.schedule.on_address_change(now);
                 if self.settings.discovery == Discovery::Ask {
                     self.call_discovery(now, out);
                 }
@@ -86,13 +86,13 @@
             Membership::Unconfirmed { whole, entries } => self.take_entries(now, whole, entries),
         }
         if cached && self.settings.discovery == Discovery::Ask {
-            let wait = self.schedule.first(self.processes > 1.0);
+            let wait = self.schedule.first_call_delay(self.processes > 1.0);
             self.call_discovery_after(wait, out);
         } else if !cached {
             match (confirmed, newer) {
-                (true, true) => self.schedule.heard(now),
-                (true, false) => self.schedule.heard_nothing_newer(now),
-                (false, _) => self.schedule.watch_opened(now),
+                (true, true) => self.schedule.on_list_update(now),
+                (true, false) => self.schedule.on_unchanged_list(now),
+                (false, _) => self.schedule.on_unconfirmed_list(now),
             }
             self.cancel_discovery_call();
         }
@@ -132,8 +132,8 @@
             return out.push(Action::Log("list lease: granted, a watch keeps it current".to_owned()));
         };
         let left = end.at.saturating_sub(now);
-        if before.is_none_or(|before| before.term != end.term) {
-            out.push(Action::Log(format!("list lease: runs out in {left:.2?}: {}", end.term)));
+        if before.is_none_or(|before| before.reason != end.reason) {
+            out.push(Action::Log(format!("list lease: runs out in {left:.2?}: {}", end.reason)));
         }
         self.set_timer(left, Timer::LeaseEnd, out);
         self.lease_timer = Some(self.next_timer);
@@ -143,12 +143,12 @@
     pub(super) fn on_lease_end(&mut self, now: Duration, out: &mut Vec<Action>) {
         self.lease_timer = None;
         let lease = self.schedule.lease();
-        if let Some(end) = lease.end().filter(|_| !lease.holds(now)) {
+        if let Some(end) = lease.end().filter(|_| !lease.is_valid(now)) {
             let then = match self.settings.limits.probes {
                 true => "sending only to endpoints known to go on",
                 false => "requests are held",
             };
-            out.push(Action::Log(format!("list lease: run out, {then}: {}", end.term)));
+            out.push(Action::Log(format!("list lease: run out, {then}: {}", end.reason)));
         }
     }
 
--- a/src/policy/list_lease.rs
+++ b/src/policy/list_lease.rs
@@ -37,27 +37,31 @@
 
 /// Which sentence ends a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeaseTerm {
+pub enum LeaseEndReason {
     /// The process started with a list that may be old.
-    SinceStart,
+    CachedList,
     /// No watch is up that would bring changes.
-    SinceWatch,
+    NoWatch,
     /// A watch has ended, and discovery has refused no call since.
-    SinceWatchEnd,
+    WatchEnded,
     /// Discovery has moved.
-    SinceMove,
+    AddressChanged,
     /// Nothing listened at discovery when it was last called.
-    SinceRefusal,
+    DiscoveryDown,
 }
 
-impl fmt::Display for LeaseTerm {
+impl fmt::Display for LeaseEndReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            LeaseTerm::SinceStart => "nothing says how old the list is that this process started with",
-            LeaseTerm::SinceWatch => "a change counts as known this long after the watch last told",
-            LeaseTerm::SinceWatchEnd => "what a watch had to tell counts as known this long after its end",
-            LeaseTerm::SinceMove => "what discovery has counts as known this long after it moved",
-            LeaseTerm::SinceRefusal => "nothing listens at discovery, and a change counts from its return",
+            LeaseEndReason::CachedList => "nothing says how old the list is that this process started with",
+            LeaseEndReason::NoWatch => "a change counts as known this long after the watch last told",
+            LeaseEndReason::WatchEnded => {
+                "what a watch had to tell counts as known this long after its end"
+            }
+            LeaseEndReason::AddressChanged => "what discovery has counts as known this long after it moved",
+            LeaseEndReason::DiscoveryDown => {
+                "nothing listens at discovery, and a change counts from its return"
+            }
         })
     }
 }
@@ -68,18 +72,18 @@
     /// From then on nothing may be sent by the list.
     pub at: Duration,
     /// Why.
-    pub term: LeaseTerm,
+    pub reason: LeaseEndReason,
 }
 
 /// What a watch has told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WatchWord {
+pub enum WatchMessage {
     /// A list that says something new.
-    News,
+    ListUpdate,
     /// A list that says nothing new, or an empty line.
-    NothingNew,
+    NoChange,
     /// A list that says nothing new, at an address that discovery has moved to: it may be behind.
-    NotConfirmed,
+    Unconfirmed,
 }
 
 /// A watch that is up.
@@ -152,20 +156,20 @@
     /// A watch is up, and has told this. Until what discovery had at a move counts as known, only one that
     /// has told on for a while vouches for the list: one that ends before that may have ended instead of
     /// telling.
-    pub fn watch_told(&mut self, now: Duration, word: WatchWord) {
+    pub fn on_watch_message(&mut self, now: Duration, message: WatchMessage) {
         self.count_lapsed(now);
         let just_moved = self.unconfirmed_move.is_some_and(|moved| now < moved + KNOWN_AFTER_MOVE);
         let watch = self.watch.get_or_insert(Watch { opened: now, told_news: false, vouches: false });
         let told_on = now >= watch.opened + LISTING_DELAY;
-        watch.told_news |= word == WatchWord::News;
-        if word != WatchWord::NotConfirmed && (told_on || !just_moved) {
+        watch.told_news |= message == WatchMessage::ListUpdate;
+        if message != WatchMessage::Unconfirmed && (told_on || !just_moved) {
             watch.vouches = true;
             self.unconfirmed_move = None;
         }
     }
 
     /// No watch is up, and for `silent_for` the last one had told nothing. Says nothing new where none was.
-    pub fn watch_ended(&mut self, now: Duration, silent_for: Duration) {
+    pub fn on_watch_end(&mut self, now: Duration, silent_for: Duration) {
         self.count_lapsed(now);
         let Some(watch) = self.watch.take() else { return };
         if self.proves(&watch, now) {
@@ -177,7 +181,7 @@
     }
 
     /// Discovery is at another address from now on.
-    pub fn discovery_moved(&mut self, now: Duration) {
+    pub fn on_address_change(&mut self, now: Duration) {
         self.count_lapsed(now);
         let counts = now + KNOWN_AFTER_MOVE;
         if let Some(watch) = self.watch.take().filter(|watch| self.proves(watch, now)) {
@@ -198,7 +202,7 @@
     /// stays; what counts as known by now is not taken back either. A process that was never told a list
     /// begins to serve by the one it started with: it must not wait for good where there is no discovery
     /// to ask.
-    pub fn call_failed(&mut self, now: Duration, failure: DiscoveryFailure) {
+    pub fn on_call_failure(&mut self, now: Duration, failure: DiscoveryFailure) {
         self.count_lapsed(now);
         let Some(end) = self.end() else { return };
         if now < end.at && failure.is_refusal() {
@@ -219,7 +223,7 @@
     pub fn end(&self) -> Option<LeaseEnd> {
         let due = self.list_due()?;
         let by_watch = self.watch_ended.map(|at| at + KNOWN_AFTER_WATCH_END);
-        let by_watch = by_watch.map(|at| LeaseEnd { at, term: LeaseTerm::SinceWatchEnd });
+        let by_watch = by_watch.map(|at| LeaseEnd { at, reason: LeaseEndReason::WatchEnded });
         by_watch.into_iter().chain([due]).min_by_key(|end| end.at)
     }
 
@@ -230,47 +234,48 @@
             return None;
         }
         let by_list = match self.complete {
-            Some(at) => (at, LeaseEnd { at: at + self.known_within, term: LeaseTerm::SinceWatch }),
-            None => (Duration::ZERO, LeaseEnd { at: self.start_end, term: LeaseTerm::SinceStart }),
+            Some(at) => (at, LeaseEnd { at: at + self.known_within, reason: LeaseEndReason::NoWatch }),
+            None => (Duration::ZERO, LeaseEnd { at: self.start_end, reason: LeaseEndReason::CachedList }),
+        };
+        let by_move = |at: &Duration| {
+            (*at, LeaseEnd { at: *at + KNOWN_AFTER_MOVE, reason: LeaseEndReason::AddressChanged })
         };
-        let by_move =
-            |at: &Duration| (*at, LeaseEnd { at: *at + KNOWN_AFTER_MOVE, term: LeaseTerm::SinceMove });
         let counts = self.moves.iter().map(by_move).chain([by_list]);
         counts.map(|(begins, end)| self.after_outage(begins, end)).min_by_key(|end| end.at)
     }
 
     /// Up to when the list is known to be complete while no watch keeps it current; none where nothing is
     /// known.
-    pub fn complete(&self) -> Option<Duration> {
+    pub fn complete_until(&self) -> Option<Duration> {
         self.complete
     }
 
     /// Whether the last call found nothing listening, and a second one has to show that it was no fault
     /// on the way.
     pub fn awaits_second_refusal(&self) -> bool {
-        let by_refusal = self.end().is_none_or(|end| end.term == LeaseTerm::SinceRefusal);
+        let by_refusal = self.end().is_none_or(|end| end.reason == LeaseEndReason::DiscoveryDown);
         self.outage.refused.is_some() && !by_refusal
     }
 
     /// Whether requests may be sent by the list.
-    pub fn holds(&self, now: Duration) -> bool {
+    pub fn is_valid(&self, now: Duration) -> bool {
         self.end().is_none_or(|end| now < end.at)
     }
 
     /// Whether the list may lack a change by now: of what it names, only what shows that it takes calls is
     /// sent to.
-    pub fn is_doubted(&self, now: Duration) -> bool {
+    pub fn may_be_stale(&self, now: Duration) -> bool {
         self.end().is_some() && now >= self.doubted_at
     }
 
     /// For how long it has been out of force since the start.
-    pub fn lapsed(&self, now: Duration) -> Duration {
+    pub fn expired_for(&self, now: Duration) -> Duration {
         let since = self.end().map_or(now, |end| end.at.max(self.lapsed_at));
         self.lapsed + now.saturating_sub(since)
     }
 
     fn count_lapsed(&mut self, now: Duration) {
-        (self.lapsed, self.lapsed_at) = (self.lapsed(now), now);
+        (self.lapsed, self.lapsed_at) = (self.expired_for(now), now);
     }
 
     /// Whether a watch that is over shows that nothing was missed up to its last word. One that told nothing
@@ -294,7 +299,7 @@
     fn after_outage(&self, begins: Duration, end: LeaseEnd) -> LeaseEnd {
         match self.outage.counts_anew {
             Some((proven, until)) if begins < proven && end.at < until => {
-                LeaseEnd { at: until, term: LeaseTerm::SinceRefusal }
+                LeaseEnd { at: until, reason: LeaseEndReason::DiscoveryDown }
             }
             _ => end,
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -26,7 +26,7 @@
 pub use discovery_schedule::DiscoverySchedule;
 use limits::Window;
 use list::Endpoint;
-pub use list_lease::{LISTING_DELAY, LeaseEnd, LeaseTerm, ListLease};
+pub use list_lease::{LISTING_DELAY, LeaseEnd, LeaseEndReason, ListLease};
 use requests::Pending;
 use retries::RETRY_SAVED;
 use std::collections::{HashMap, HashSet};
@@ -204,13 +204,13 @@
     }
 
     /// Things remembered: endpoints, requests, timers. Stays in proportion to what is going on.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_entries(&self) -> usize {
         self.endpoints.len() + self.requests.len() + self.timers.len() + self.held.len()
     }
 
     /// Whether requests may be sent by the endpoint list.
-    pub fn list_holds(&self, now: Duration) -> bool {
-        self.schedule.lease().holds(now)
+    pub fn list_lease_valid(&self, now: Duration) -> bool {
+        self.schedule.lease().is_valid(now)
     }
 
     /// How many endpoints are listed, and how many of them would not take a call now.
@@ -224,7 +224,7 @@
             unavailable: listed().filter(barred).count(),
             queued: self.held.len(),
             queued_without_lease: self.held_without_lease,
-            time_without_lease: self.schedule.lease().lapsed(now),
+            time_without_lease: self.schedule.lease().expired_for(now),
             windows: self.windows.map(|window| WindowStats { size: window.size, in_flight: window.out }),
         }
     }
@@ -233,7 +233,7 @@
     fn call_discovery(&mut self, now: Duration, out: &mut Vec<Action>) {
         self.cancel_discovery_call();
         out.push(Action::Watch(true));
-        if let Some(wait) = self.schedule.called(now) {
+        if let Some(wait) = self.schedule.on_call_start(now) {
             self.call_discovery_after(wait, out);
         }
     }
--- a/tests/contract.rs
+++ b/tests/contract.rs
@@ -15,7 +15,7 @@
     d.end(second, Outcome::Ok, ms(1));
     d.now += ms(50);
     d.end(id, Outcome::Ok, ms(10));
-    assert_eq!(d.balancer.remembered(), 3 + 2, "the list, and the deadline timers still to come");
+    assert_eq!(d.balancer.tracked_entries(), 3 + 2, "the list, and the deadline timers still to come");
 }
 
 #[test]
--- a/tests/discovery_deadline.rs
+++ b/tests/discovery_deadline.rs
@@ -54,7 +54,7 @@
         let (_, failure, lasts) = &TROUBLES[self.troubles[self.begun.len() % self.troubles.len()]];
         self.begun.push(now);
         self.out.push((now + ms(*lasts), *failure));
-        self.next = self.schedule.called(now).map(|wait| now + wait);
+        self.next = self.schedule.on_call_start(now).map(|wait| now + wait);
     }
 
     /// Plays until a time, one millisecond after the other; what is out ends as it was drawn.
@@ -64,7 +64,7 @@
             while let Some(i) = self.out.iter().position(|(ends, _)| *ends <= now) {
                 let (_, failure) = self.out.remove(i);
                 self.failed.push((now, failure));
-                self.next = Some(now + self.schedule.failed(now, Duration::ZERO, failure));
+                self.next = Some(now + self.schedule.on_failure(now, Duration::ZERO, failure));
             }
             if self.next.is_some_and(|next| next <= now) {
                 self.begin_call(now);
@@ -85,22 +85,22 @@
         troubles,
     };
     let mut at = ms(60_000);
-    play.schedule.heard(at);
+    play.schedule.on_list_update(at);
     let deadline = match start {
         Start::Moved => {
             for _ in 0..moves {
                 at += ms(300);
-                play.schedule.moved(at);
+                play.schedule.on_address_change(at);
             }
             play.begin_call(at);
             ms(60_300 + 4000) // what it had at the first move counts by that one
         }
         Start::WatchLost => {
-            play.next = Some(at + play.schedule.failed(at, ms(0), DiscoveryFailure::Unanswered));
+            play.next = Some(at + play.schedule.on_failure(at, ms(0), DiscoveryFailure::Unanswered));
             at + ms(6000)
         }
         Start::WatchSilent => {
-            play.next = Some(at + play.schedule.failed(at, ms(3000), DiscoveryFailure::WatchSilent));
+            play.next = Some(at + play.schedule.on_failure(at, ms(3000), DiscoveryFailure::WatchSilent));
             at + ms(3000)
         }
     };
@@ -133,9 +133,9 @@
     let by_end = by_end
         .filter(|by_end| play.failed.iter().all(|(at, failure)| at >= by_end || !failure.is_refusal()));
     let sent_until = by_end.map_or(sent_until, |by_end| by_end.min(sent_until));
-    assert!(lease.holds(sent_until - ms(1)), "{name}: service goes on until then");
-    assert!(by_end.is_none_or(|by_end| !lease.holds(by_end)), "{name}: and no longer");
-    assert!(!lease.holds(deadline), "{name}: nothing is sent by what counts as superseded");
+    assert!(lease.is_valid(sent_until - ms(1)), "{name}: service goes on until then");
+    assert!(by_end.is_none_or(|by_end| !lease.is_valid(by_end)), "{name}: and no longer");
+    assert!(!lease.is_valid(deadline), "{name}: nothing is sent by what counts as superseded");
 }
 
 #[test]
--- a/tests/discovery_schedule.rs
+++ b/tests/discovery_schedule.rs
@@ -253,7 +253,7 @@
         for seed in 0..40 {
             let settings = Settings { discovery: Discovery::Ask, ..Settings::default() };
             let mut schedule = DiscoverySchedule::new(&settings, seed, second(50.0));
-            let mut now = second(50.0) + schedule.first(false);
+            let mut now = second(50.0) + schedule.first_call_delay(false);
             assert!(now < second(56.0), "the first call");
             let back = second(60.0 + 0.5 * seed as f64);
             let known = loop {
@@ -261,7 +261,7 @@
                     break now + second(answers_after);
                 }
                 let lost = now + second(lost_after);
-                now = lost + schedule.failed(lost, Duration::ZERO, DiscoveryFailure::Unanswered);
+                now = lost + schedule.on_failure(lost, Duration::ZERO, DiscoveryFailure::Unanswered);
             };
             let took = known - back;
             assert!(
@@ -280,16 +280,18 @@
             let mut settings = Settings { discovery: Discovery::Ask, ..Settings::default() };
             settings.rules.ask_within = ask_within;
             let mut schedule = DiscoverySchedule::new(&settings, seed, ms(50_000));
-            assert!(schedule.first(false) <= ms(10), "from its start, of the only process");
-            assert_eq!(schedule.first(true), ms(0), "beside an older process");
-            schedule.heard(ms(59_000));
-            let wait = schedule.failed(ms(60_000), silent_for, DiscoveryFailure::Unanswered);
+            assert!(schedule.first_call_delay(false) <= ms(10), "from its start, of the only process");
+            assert_eq!(schedule.first_call_delay(true), ms(0), "beside an older process");
+            schedule.on_list_update(ms(59_000));
+            let wait = schedule.on_failure(ms(60_000), silent_for, DiscoveryFailure::Unanswered);
             assert!(wait <= ms(750), "{wait:?}");
             let counts = ms(60_000) - silent_for + ask_within.min(ms(6000));
-            assert!(!schedule.lease().is_doubted(counts - ms(1)) && schedule.lease().is_doubted(counts));
+            assert!(
+                !schedule.lease().may_be_stale(counts - ms(1)) && schedule.lease().may_be_stale(counts)
+            );
             let again = ms(60_000)
                 + wait
-                + schedule.failed(ms(60_000) + wait, silent_for, DiscoveryFailure::Unanswered);
+                + schedule.on_failure(ms(60_000) + wait, silent_for, DiscoveryFailure::Unanswered);
             assert!(again <= ms(60_000 + 750 + 5500), "then in its turn");
         }
     }
@@ -301,15 +303,15 @@
     for seed in 0..200 {
         let settings = Settings { discovery: Discovery::Ask, ..Settings::default() };
         let mut schedule = DiscoverySchedule::new(&settings, seed, ms(50_000));
-        schedule.heard(ms(59_000));
+        schedule.on_list_update(ms(59_000));
         let watch_lost = ms(60_000);
-        let first = watch_lost + schedule.failed(watch_lost, ms(0), DiscoveryFailure::Unanswered);
+        let first = watch_lost + schedule.on_failure(watch_lost, ms(0), DiscoveryFailure::Unanswered);
         let given_up = first + lost_after;
-        let second = given_up + schedule.failed(given_up, ms(0), DiscoveryFailure::Unanswered);
+        let second = given_up + schedule.on_failure(given_up, ms(0), DiscoveryFailure::Unanswered);
         let known = second + answer - watch_lost;
         assert!(known <= ms(6000), "seed {seed}: {known:?}");
         // Where a crowd had sent it away the whole period stays.
-        assert!(schedule.failed(second, ms(0), DiscoveryFailure::SentAway) <= ms(5500));
+        assert!(schedule.on_failure(second, ms(0), DiscoveryFailure::SentAway) <= ms(5500));
     }
 }
 
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -171,7 +171,7 @@
         for id in late {
             d.end(id, Outcome::TimedOut, ms(300));
         }
-        sizes.push(d.balancer.remembered());
+        sizes.push(d.balancer.tracked_entries());
     }
     assert!(sizes.iter().all(|size| *size <= 4), "after each round only the list is left: {sizes:?}");
 }
@@ -294,7 +294,7 @@
         }
     }
     d.advance(ms(2000));
-    assert!(d.balancer.remembered() <= 4);
+    assert!(d.balancer.tracked_entries() <= 4);
 }
 
 /// Keeps requests waiting and ends the oldest call, `rounds` times; returns how many calls are out.
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -82,11 +82,11 @@
                 *got.entry(to).or_default() += 1;
             }
             // A timer for each request's end, and perhaps one to ask discovery.
-            assert!(host.balancer.remembered() as u64 <= listed + 2 * REQUESTS + 1);
+            assert!(host.balancer.tracked_entries() as u64 <= listed + 2 * REQUESTS + 1);
             for token in std::mem::take(&mut host.timers) {
                 host.take(now + ms(3000), Event::Timer(token));
             }
-            most_kept = most_kept.max(host.balancer.remembered() as u64);
+            most_kept = most_kept.max(host.balancer.tracked_entries() as u64);
         }
         assert_eq!(most_kept, listed, "nothing but the list is kept once all is over");
         let allowed: HashSet<u64> =
--- a/tests/support/lease_model.rs
+++ b/tests/support/lease_model.rs
@@ -299,7 +299,7 @@
         }
         let (now, silent_for) = (self.now, ms(silent_for));
         if let Some(schedule) = &mut self.schedule {
-            let wait = schedule.failed(now, silent_for, failure);
+            let wait = schedule.on_failure(now, silent_for, failure);
             self.plan(Some(wait));
         }
         self.tell(Membership::Failed { silent_for, failure });
@@ -332,9 +332,9 @@
         }
         if let Some(schedule) = &mut self.schedule {
             if confirmed {
-                schedule.heard(self.now)
+                schedule.on_list_update(self.now)
             } else {
-                schedule.watch_opened(self.now)
+                schedule.on_unconfirmed_list(self.now)
             }
             self.next_call = None;
         }
@@ -420,7 +420,7 @@
         self.calls.clear();
         self.move_to_answer = Some((behind, lost));
         if let Some(schedule) = &mut self.schedule {
-            schedule.moved(self.now);
+            schedule.on_address_change(self.now);
             self.plan(Some(Duration::ZERO));
         }
         self.tell(Membership::Moved);
@@ -556,7 +556,7 @@
         }
         if self.next_call.is_some_and(|next| next <= at) {
             self.begin_call();
-            let beside = self.schedule.as_mut().and_then(|schedule| schedule.called(self.now));
+            let beside = self.schedule.as_mut().and_then(|schedule| schedule.on_call_start(self.now));
             self.plan(beside);
         }
     }
