--- a/src/policy/continuity.rs
+++ b/src/policy/continuity.rs
@@ -7,11 +7,11 @@
 
 /// An endpoint that is cut off, or dies and comes back, is away for longer: no page says so, it was seen
 /// in service.
-const AWAY_LEAST: Duration = Duration::from_secs(2);
+const MIN_ABSENCE: Duration = Duration::from_secs(2);
 /// Answers further apart leave room for an endpoint to have been cut off in between.
-pub(super) const ANSWERED_EVERY: Duration = AWAY_LEAST;
+pub(super) const MAX_ANSWER_GAP: Duration = MIN_ABSENCE;
 /// Spans kept: two connections that were opened one after the other may prove later to lead to one process.
-const SPANS_KEPT: usize = 2;
+const MAX_SPANS: usize = 2;
 
 /// One process lived throughout, and answered again and again.
 #[derive(Clone, Copy)]
@@ -33,12 +33,12 @@
     /// It has answered on a connection that had been open for so long.
     pub fn answered(&mut self, now: Duration, connected_for: Duration) {
         let opened = now.saturating_sub(connected_for).max(self.broken_at);
-        let goes_on = |span: &Span| opened <= span.until && now <= span.until + ANSWERED_EVERY;
-        let since = self.spans.iter().filter(|span| goes_on(span)).map(|span| span.since).min();
-        self.spans.retain(|span| !goes_on(span));
-        let alone = opened.max(now.saturating_sub(ANSWERED_EVERY));
+        let extended = |span: &Span| opened <= span.until && now <= span.until + MAX_ANSWER_GAP;
+        let since = self.spans.iter().filter(|span| extended(span)).map(|span| span.since).min();
+        self.spans.retain(|span| !extended(span));
+        let alone = opened.max(now.saturating_sub(MAX_ANSWER_GAP));
         self.spans.push(Span { since: since.unwrap_or(alone), until: now });
-        if self.spans.len() > SPANS_KEPT {
+        if self.spans.len() > MAX_SPANS {
             self.spans.remove(0);
         }
     }
@@ -52,7 +52,7 @@
     /// Whether one process is known to have gone on without a break over this time, or to have answered
     /// so soon after its beginning that it can't have been away before.
     pub fn covers(&self, since: Duration, until: Duration) -> bool {
-        let unbroken = |span: &Span| span.since <= since + AWAY_LEAST && until <= span.until;
+        let unbroken = |span: &Span| span.since <= since + MIN_ABSENCE && until <= span.until;
         self.broken_at <= since && self.spans.iter().any(unbroken)
     }
 }
--- a/src/policy/list.rs
+++ b/src/policy/endpoint_list.rs
@@ -3,63 +3,63 @@
 //! nobody.
 
 use super::continuity::Continuity;
-use super::limits::{LIMIT_START, WINDOW_START};
+use super::limits::{INITIAL_LIMIT, INITIAL_WINDOW};
 use super::list_lease::LeaseEnd;
 use super::{Balancer, Timer};
 use crate::api::*;
-use crate::stats::Fading;
+use crate::stats::DecayingValue;
 use std::time::Duration;
 
 /// Balancers that share each endpoint. One that uses many learns too little of each (i44da9d); its idle
 /// connections fill their tables, which takes capacity; so many that balancers of unlike load even out.
-const PART_CALLERS: f64 = 4.0;
+const BALANCERS_PER_ENDPOINT: f64 = 4.0;
 /// Endpoints of a zone that a caller uses at least, so that d samples still find a choice among failing
 /// ones.
-const PART_LEAST: f64 = 4.0;
+const MIN_SUBSET: f64 = 4.0;
 /// Step from one balancer's place on the ring to the next one's: the golden ratio spaces any run evenly.
-const PLACE_STEP: f64 = 0.618_033_988_75;
+const RING_STEP: f64 = 0.618_033_988_75;
 pub(super) struct Endpoint {
     pub(super) info: EndpointInfo,
     /// The operators have taken it out.
     pub(super) suspended: bool,
     pub(super) in_flight: u32,
     /// Recent failures as calls in flight.
-    pub(super) heat: Fading,
+    pub(super) failure_penalty: DecayingValue,
     /// Its latency as a multiple of the class's unhurried mean, beyond one: what calls of
     /// others, unseen here, do to it. Own counts say little where a caller has one call out or none.
-    pub(super) drag: Fading,
+    pub(super) latency_penalty: DecayingValue,
     /// Own calls it may hold: the paper's C, learned from late and timely answers.
     pub(super) limit: f64,
-    pub(super) limit_cut_at: Duration,
+    pub(super) limit_reduced_at: Duration,
     /// When the last call that it served was sent, and the last that it refused.
     pub(super) accepted: Option<Duration>,
     pub(super) refused: Option<Duration>,
     /// When it was last probed, whether that is out, and when it was asked the health check that passed, if
     /// the last one did.
-    pub(super) probed: Option<Duration>,
-    pub(super) probe_out: bool,
-    pub(super) healthy: Option<Duration>,
+    pub(super) probed_at: Option<Duration>,
+    pub(super) probe_in_flight: bool,
+    pub(super) healthy_at: Option<Duration>,
     /// Since when it has gone on without a break.
     pub(super) continuity: Continuity,
     /// When it last answered, and left a connection idle.
-    pub(super) heard: Option<Duration>,
+    pub(super) idle_since: Option<Duration>,
     /// Sends the cold budget still allows, as of `cold_at`.
-    pub(super) cold_tokens: f64,
-    pub(super) cold_at: Duration,
+    pub(super) slow_start_tokens: f64,
+    pub(super) slow_start_at: Duration,
 }
 
 impl Balancer {
-    pub(super) fn on_membership(&mut self, now: Duration, news: Membership, out: &mut Vec<Action>) {
+    pub(super) fn on_membership(&mut self, now: Duration, update: Membership, out: &mut Vec<Action>) {
         let lease_before = self.schedule.lease().end();
-        self.take_news(now, news, out);
-        self.follow_lease(now, lease_before, out);
+        self.apply_update(now, update, out);
+        self.update_lease_timer(now, lease_before, out);
     }
 
-    fn take_news(&mut self, now: Duration, news: Membership, out: &mut Vec<Action>) {
-        let confirmed = !matches!(news, Membership::Unconfirmed { .. });
-        let newer = self.has_news(&news);
-        let cached = matches!(news, Membership::Cached(_));
-        match news {
+    fn apply_update(&mut self, now: Duration, update: Membership, out: &mut Vec<Action>) {
+        let confirmed = !matches!(update, Membership::Unconfirmed { .. });
+        let changed = self.has_changes(&update);
+        let cached = matches!(update, Membership::Cached(_));
+        match update {
             Membership::Failed { silent_for, failure } => {
                 let wait = self.schedule.on_failure(now, silent_for, failure);
                 if self.settings.discovery == Discovery::Ask {
@@ -76,40 +76,40 @@
                 return;
             }
             Membership::FromPreviousAddress { whole, entries } => {
-                self.take_entries(now, whole, entries);
+                self.apply_entries(now, whole, entries);
                 return;
             }
-            Membership::Delta(entries) => self.take_entries(now, false, entries),
+            Membership::Delta(entries) => self.apply_entries(now, false, entries),
             Membership::Full(entries) | Membership::Cached(entries) => {
-                self.take_entries(now, true, entries);
+                self.apply_entries(now, true, entries);
             }
-            Membership::Unconfirmed { whole, entries } => self.take_entries(now, whole, entries),
+            Membership::Unconfirmed { whole, entries } => self.apply_entries(now, whole, entries),
         }
         if cached && self.settings.discovery == Discovery::Ask {
             let wait = self.schedule.first_call_delay(self.processes > 1.0);
             self.call_discovery_after(wait, out);
         } else if !cached {
-            match (confirmed, newer) {
+            match (confirmed, changed) {
                 (true, true) => self.schedule.on_list_update(now),
                 (true, false) => self.schedule.on_unchanged_list(now),
                 (false, _) => self.schedule.on_unconfirmed_list(now),
             }
             self.cancel_discovery_call();
         }
-        if !std::mem::replace(&mut self.started, true) {
-            let size = (WINDOW_START * self.part()).max(1.0);
+        if !std::mem::replace(&mut self.windows_initialized, true) {
+            let size = (INITIAL_WINDOW * self.endpoint_share()).max(1.0);
             self.windows.iter_mut().for_each(|window| window.size = size);
         }
-        self.release_held(now, out);
+        self.dispatch_queued(now, out);
     }
 
     /// Whether a list says anything that is not held yet.
-    fn has_news(&self, news: &Membership) -> bool {
+    fn has_changes(&self, update: &Membership) -> bool {
         let held = |info: &EndpointInfo| {
             self.index.get(&info.id).is_some_and(|&i| self.endpoints[i].info == *info)
         };
         let listed = |info: &EndpointInfo| info.state != EndpointState::Gone;
-        match news {
+        match update {
             Membership::Delta(entries) => !entries.iter().all(held),
             Membership::Full(entries) => {
                 let before = self.endpoints.iter().filter(|e| listed(&e.info)).count();
@@ -120,7 +120,7 @@
     }
 
     /// Says where the end of the lease on the list has changed, and wakes up at it.
-    fn follow_lease(&mut self, now: Duration, before: Option<LeaseEnd>, out: &mut Vec<Action>) {
+    fn update_lease_timer(&mut self, now: Duration, before: Option<LeaseEnd>, out: &mut Vec<Action>) {
         let after = self.schedule.lease().end();
         if after == before {
             return;
@@ -136,7 +136,7 @@
             out.push(Action::Log(format!("list lease: runs out in {left:.2?}: {}", end.reason)));
         }
         self.set_timer(left, Timer::LeaseEnd, out);
-        self.lease_timer = Some(self.next_timer);
+        self.lease_timer = Some(self.last_timer);
     }
 
     /// Says that the lease on the list has run out, if it has.
@@ -158,7 +158,7 @@
         if self.suspended.insert(id) {
             if let Some(&i) = self.index.get(&id) {
                 self.endpoints[i].suspended = true;
-                self.choose_part(now);
+                self.choose_subset(now);
             }
             out.push(Action::CloseIdle { endpoint: id });
         }
@@ -173,27 +173,27 @@
             info.started = info.started.max(Some(at));
             self.endpoints[i].suspended = false;
             self.update_endpoints(now, vec![info]);
-            self.release_held(now, out);
+            self.dispatch_queued(now, out);
         }
     }
 
     /// So many balancers share the work, each of so many processes. What was seen of all requests says too
     /// much of a smaller part of them: cold endpoints would get their whole budget from each. With a larger
     /// part, this one sees for itself what has become its own.
-    pub(super) fn on_shared(&mut self, now: Duration, balancers: u32, processes: u32) {
+    pub(super) fn on_balancer_count(&mut self, now: Duration, balancers: u32, processes: u32) {
         let (balancers, processes) = (balancers.max(1), f64::from(processes.max(1)));
         let before = f64::from(self.settings.balancers.max(1)) * self.processes;
-        let part = (before / (f64::from(balancers) * processes)).min(1.0);
-        for rate in [&mut self.arrivals, &mut self.served, &mut self.proven] {
-            rate.value *= part;
+        let ratio = (before / (f64::from(balancers) * processes)).min(1.0);
+        for rate in [&mut self.arrivals, &mut self.served, &mut self.warm_rate] {
+            rate.value *= ratio;
         }
-        self.endpoints.iter_mut().for_each(|e| e.cold_tokens *= part);
+        self.endpoints.iter_mut().for_each(|e| e.slow_start_tokens *= ratio);
         (self.settings.balancers, self.processes) = (balancers, processes);
-        self.choose_part(now);
+        self.choose_subset(now);
     }
 
     /// Takes the entries of a list; what a whole one does not name is gone.
-    fn take_entries(&mut self, now: Duration, whole: bool, entries: Vec<EndpointInfo>) {
+    fn apply_entries(&mut self, now: Duration, whole: bool, entries: Vec<EndpointInfo>) {
         if whole {
             for endpoint in &mut self.endpoints {
                 endpoint.info.state = EndpointState::Gone;
@@ -212,32 +212,33 @@
                 Some(&i) => {
                     let endpoint = &mut self.endpoints[i];
                     if info.started != endpoint.info.started {
-                        endpoint.drag.value = 0.0;
-                        endpoint.heat.value = 0.0; // another process: its forerunner's failures say nothing
-                        (endpoint.cold_tokens, endpoint.cold_at) = (0.0, now);
+                        endpoint.latency_penalty.value = 0.0;
+                        // A different process: the failures of the previous one say nothing about it.
+                        endpoint.failure_penalty.value = 0.0;
+                        (endpoint.slow_start_tokens, endpoint.slow_start_at) = (0.0, now);
                     }
                     endpoint.info = info;
                 }
                 None => {
                     self.index.insert(info.id, self.endpoints.len());
-                    let cold_tokens = self.draws.uniform();
+                    let slow_start_tokens = self.rng.uniform();
                     self.endpoints.push(Endpoint {
                         suspended: self.suspended.contains(&info.id),
                         info,
                         in_flight: 0,
-                        heat: Fading::default(),
-                        drag: Fading::default(),
-                        limit: LIMIT_START,
-                        limit_cut_at: now,
+                        failure_penalty: DecayingValue::default(),
+                        latency_penalty: DecayingValue::default(),
+                        limit: INITIAL_LIMIT,
+                        limit_reduced_at: now,
                         accepted: None,
                         refused: None,
-                        probed: None,
-                        probe_out: false,
-                        healthy: None,
+                        probed_at: None,
+                        probe_in_flight: false,
+                        healthy_at: None,
                         continuity: Continuity::default(),
-                        heard: None,
-                        cold_tokens,
-                        cold_at: now,
+                        idle_since: None,
+                        slow_start_tokens,
+                        slow_start_at: now,
                     });
                 }
             }
@@ -245,41 +246,43 @@
         // Endpoints that left are forgotten once their last call has ended.
         self.endpoints.retain(|e| e.info.state != EndpointState::Gone || e.in_flight > 0);
         self.index = self.endpoints.iter().enumerate().map(|(i, e)| (e.info.id, i)).collect();
-        self.choose_part(now);
+        self.choose_subset(now);
     }
 
     /// All balancers see the endpoints of a zone on the same ring; each begins at a place of its own, by
     /// the golden ratio: so parts cover it evenly, also for those of one zone, however they are numbered.
-    fn choose_part(&mut self, now: Duration) {
+    fn choose_subset(&mut self, now: Duration) {
         let ready = self.endpoints.iter().enumerate().filter(|(_, e)| e.is_ready());
         let mut ring: Vec<_> = ready.map(|(i, e)| (e.info.zone, e.info.id, i)).collect();
         ring.sort();
         let callers = f64::from(self.settings.balancers.max(1));
-        let mut in_part = vec![false; self.endpoints.len()];
+        let mut in_subset = vec![false; self.endpoints.len()];
         for zone in ring.chunk_by(|a, b| a.0 == b.0) {
             let size = zone.len() as f64;
-            let start = (size * (f64::from(self.settings.me) * PLACE_STEP).fract()) as usize;
+            let start = (size * (f64::from(self.settings.me) * RING_STEP).fract()) as usize;
             // Cold endpoints come on top: through a release a part of them alone would be crowded.
-            let mut wanted = (size * PART_CALLERS / callers).max(PART_LEAST);
+            let mut remaining = (size * BALANCERS_PER_ENDPOINT / callers).max(MIN_SUBSET);
             for place in start..start + zone.len() {
                 let i = zone[place % zone.len()].2;
-                in_part[i] = wanted > 0.0;
-                if self.warmth(now, i) >= 1.0 {
-                    wanted -= 1.0;
+                in_subset[i] = remaining > 0.0;
+                if self.warm_fraction(now, i) >= 1.0 {
+                    remaining -= 1.0;
                 }
             }
         }
         self.pools = Default::default();
-        for (i, part) in in_part.into_iter().enumerate().filter(|&(i, _)| self.endpoints[i].is_ready()) {
+        for (i, included) in
+            in_subset.into_iter().enumerate().filter(|&(i, _)| self.endpoints[i].is_ready())
+        {
             let side = self.side(i);
             self.pools[2 + side].push(i);
-            if part {
+            if included {
                 self.pools[side].push(i);
             }
         }
     }
 
-    pub(super) fn ready(&self) -> f64 {
+    pub(super) fn ready_count(&self) -> f64 {
         (self.pools[2].len() + self.pools[3].len()) as f64
     }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -9,23 +9,23 @@
 //! `limits` holds the request, and lets the worthiest go first.
 
 mod choice;
-mod cold;
 mod continuity;
 mod discovery_schedule;
-mod health;
+mod endpoint_list;
+mod health_checks;
 mod limits;
-mod list;
 mod list_lease;
 mod requests;
 mod retries;
+mod slow_start;
 
 use crate::api::*;
-use crate::stats::{Draws, Fading, Latency};
-use choice::ListTrust;
+use crate::stats::{DecayingValue, Latency, SeededRng};
+use choice::Eligibility;
 pub use continuity::Continuity;
 pub use discovery_schedule::DiscoverySchedule;
+use endpoint_list::Endpoint;
 use limits::Window;
-use list::Endpoint;
 pub use list_lease::{LISTING_DELAY, LeaseEnd, LeaseEndReason, ListLease};
 use requests::Pending;
 use retries::RETRY_SAVED;
@@ -46,8 +46,8 @@
 /// The decisions of one balancer.
 pub struct Balancer {
     settings: Settings,
-    born: Duration,
-    draws: Draws,
+    created_at: Duration,
+    rng: SeededRng,
     endpoints: Vec<Endpoint>,
     index: HashMap<EndpointId, usize>,
     /// What the operators have taken out, listed or not, and when they gave back what may still be cold.
@@ -58,47 +58,47 @@
     /// Ready endpoints: of the own zone, of others, each first those of this balancer's part, then all.
     pools: [Vec<usize>; 4],
     requests: HashMap<RequestId, Pending>,
-    held: Vec<RequestId>,
+    queued: Vec<RequestId>,
     /// Heat that three quarters of the endpoints share: it comes from below and is nobody's fault here.
     /// Not the median's, or a zone lost would pass for it.
-    common_heat: f64,
+    common_penalty: f64,
     /// Which of the listed endpoints are sent to: fewer while the list may be stale.
-    trust: ListTrust,
+    eligibility: Eligibility,
     /// When endpoints may be asked for their health again, and one that is left out.
-    probe_at: Duration,
-    probe_left_out_at: Duration,
+    next_probe_at: Duration,
+    next_excluded_probe_at: Duration,
     /// Endpoints whose health is kept known while the lease on the list is out.
     health_checked: Vec<EndpointId>,
     /// Of the own zone and of all others together: a crowded zone must not shut the others.
     windows: [Window; 2],
-    recheck_set: bool,
+    recheck_scheduled: bool,
     /// The value of the worthiest request refused of late without having been sent.
-    missed: Fading,
+    refused_value: DecayingValue,
     timers: HashMap<u64, Timer>,
-    next_timer: u64,
+    last_timer: u64,
     latency: Vec<Latency>,
     retry_tokens: f64,
     /// Requests by tenant.
-    tenants: Vec<Fading>,
-    arrivals: Fading,
+    tenants: Vec<DecayingValue>,
+    arrivals: DecayingValue,
     /// Requests served by warm endpoints.
-    served: Fading,
+    served: DecayingValue,
     /// The most a warm endpoint has lately been seen to serve for this balancer, a second.
-    proven: Fading,
+    warm_rate: DecayingValue,
     /// Attempts lately without an answer, less what answers refute.
-    silence: Fading,
+    unanswered: DecayingValue,
     late_share: f64,
     /// How far silence goes with connections that lay idle, and from how long on.
-    stale: f64,
-    reaped_after: Duration,
+    idle_drops: f64,
+    idle_drop_after: Duration,
     schedule: DiscoverySchedule,
     /// The timer of the next call at discovery: there is one at the most.
-    next_call: Option<u64>,
+    discovery_timer: Option<u64>,
     /// The timer of the end of the lease on the list.
     lease_timer: Option<u64>,
     /// Requests held as that lease had run out.
-    held_without_lease: u64,
-    started: bool,
+    queued_without_lease: u64,
+    windows_initialized: bool,
 }
 
 impl Balancer {
@@ -109,8 +109,8 @@
         let schedule = DiscoverySchedule::new(&settings, seed ^ SCHEDULE_SEED, now);
         Ok(Balancer {
             settings,
-            born: now,
-            draws: Draws::new(seed),
+            created_at: now,
+            rng: SeededRng::new(seed),
             endpoints: Vec::new(),
             index: HashMap::new(),
             suspended: HashSet::new(),
@@ -118,44 +118,44 @@
             processes: 1.0,
             pools: Default::default(),
             requests: HashMap::new(),
-            held: Vec::new(),
-            common_heat: 0.0,
-            trust: ListTrust::Listed,
-            probe_at: now,
-            probe_left_out_at: now,
+            queued: Vec::new(),
+            common_penalty: 0.0,
+            eligibility: Eligibility::AllListed,
+            next_probe_at: now,
+            next_excluded_probe_at: now,
             health_checked: Vec::new(),
-            windows: [Window { size: 1.0, out: 0, opening: true }; 2],
-            recheck_set: false,
-            missed: Fading::default(),
+            windows: [Window { size: 1.0, in_flight: 0, ramping_up: true }; 2],
+            recheck_scheduled: false,
+            refused_value: DecayingValue::default(),
             timers: HashMap::new(),
-            next_timer: 0,
+            last_timer: 0,
             latency: vec![Latency::default(); classes],
             retry_tokens: RETRY_SAVED,
-            tenants: vec![Fading::default(); tenants],
-            arrivals: Fading::default(),
-            served: Fading::default(),
-            proven: Fading::default(),
-            silence: Fading::default(),
+            tenants: vec![DecayingValue::default(); tenants],
+            arrivals: DecayingValue::default(),
+            served: DecayingValue::default(),
+            warm_rate: DecayingValue::default(),
+            unanswered: DecayingValue::default(),
             late_share: 0.0,
-            stale: 0.0,
-            reaped_after: Duration::MAX,
+            idle_drops: 0.0,
+            idle_drop_after: Duration::MAX,
             schedule,
-            next_call: None,
+            discovery_timer: None,
             lease_timer: None,
-            held_without_lease: 0,
-            started: false,
+            queued_without_lease: 0,
+            windows_initialized: false,
         })
     }
 
     /// Takes one event at `now` and appends what is to be done.
     pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Membership(news) => self.on_membership(now, news, out),
+            Event::Membership(update) => self.on_membership(now, update, out),
             Event::Request(request) => self.on_request(now, request, out),
-            Event::BodyForwarded { request, time_left } => self.on_whole(now, request, time_left, out),
+            Event::BodyForwarded { request, time_left } => self.on_body(now, request, time_left, out),
             Event::BodySendStarted(id) => {
                 if let Some(pending) = self.requests.get_mut(&id) {
-                    pending.spent = true;
+                    pending.no_retry = true;
                 }
             }
             Event::StreamStarted { request, .. } => {
@@ -174,15 +174,15 @@
                 Some(Timer::Deadline(id)) => self.give_up(id, out),
                 Some(Timer::Overdue(id, attempt)) => self.on_overdue(now, id, attempt, out),
                 Some(Timer::CallDiscovery) => {
-                    self.next_call = None;
+                    self.discovery_timer = None;
                     self.call_discovery(now, out);
                 }
                 Some(Timer::LeaseEnd) => self.on_lease_end(now, out),
                 Some(Timer::Recheck) => {
-                    self.recheck_set = false;
-                    self.drop_late(now, out);
-                    self.release_held(now, out);
-                    if !self.held.is_empty() {
+                    self.recheck_scheduled = false;
+                    self.refuse_late(now, out);
+                    self.dispatch_queued(now, out);
+                    if !self.queued.is_empty() {
                         self.probe_endpoints(now, out);
                     }
                 }
@@ -191,10 +191,10 @@
             Event::Suspend(id) => self.on_suspend(now, id, out),
             Event::Resume { endpoint, at } => self.on_resume(now, endpoint, at, out),
             Event::ProcessCountChanged { processes } => {
-                self.on_shared(now, self.settings.balancers, processes)
+                self.on_balancer_count(now, self.settings.balancers, processes)
             }
             Event::BalancerCountChanged { balancers } => {
-                self.on_shared(now, balancers, self.processes as u32)
+                self.on_balancer_count(now, balancers, self.processes as u32)
             }
             Event::ProbeEnded { endpoint, outcome, elapsed, .. } => {
                 self.on_probe_ended(now, endpoint, outcome, elapsed, out);
@@ -205,7 +205,7 @@
 
     /// Things remembered: endpoints, requests, timers. Stays in proportion to what is going on.
     pub fn tracked_entries(&self) -> usize {
-        self.endpoints.len() + self.requests.len() + self.timers.len() + self.held.len()
+        self.endpoints.len() + self.requests.len() + self.timers.len() + self.queued.len()
     }
 
     /// Whether requests may be sent by the endpoint list.
@@ -217,15 +217,18 @@
     pub fn stats(&self, now: Duration) -> BalancerStats {
         let listed = || self.endpoints.iter().filter(|e| e.info.state != EndpointState::Gone);
         // What holds all the calls that it may is in use; one that failures bar from its first is avoided.
-        let barred =
-            |e: &&Endpoint| !e.is_ready() || e.heat(now) - self.common_heat + 1.0 > e.limit.max(1.0);
+        let barred = |e: &&Endpoint| {
+            !e.is_ready() || e.failure_penalty(now) - self.common_penalty + 1.0 > e.limit.max(1.0)
+        };
         BalancerStats {
             members: listed().count(),
             unavailable: listed().filter(barred).count(),
-            queued: self.held.len(),
-            queued_without_lease: self.held_without_lease,
+            queued: self.queued.len(),
+            queued_without_lease: self.queued_without_lease,
             time_without_lease: self.schedule.lease().expired_for(now),
-            windows: self.windows.map(|window| WindowStats { size: window.size, in_flight: window.out }),
+            windows: self
+                .windows
+                .map(|window| WindowStats { size: window.size, in_flight: window.in_flight }),
         }
     }
 
@@ -242,18 +245,18 @@
     fn call_discovery_after(&mut self, wait: Duration, out: &mut Vec<Action>) {
         self.cancel_discovery_call();
         self.set_timer(wait, Timer::CallDiscovery, out);
-        self.next_call = Some(self.next_timer);
+        self.discovery_timer = Some(self.last_timer);
     }
 
     fn cancel_discovery_call(&mut self) {
-        if let Some(timer) = self.next_call.take() {
+        if let Some(timer) = self.discovery_timer.take() {
             self.timers.remove(&timer);
         }
     }
 
     fn set_timer(&mut self, after: Duration, timer: Timer, out: &mut Vec<Action>) {
-        self.next_timer += 1;
-        self.timers.insert(self.next_timer, timer);
-        out.push(Action::SetTimer { token: TimerToken(self.next_timer), after });
+        self.last_timer += 1;
+        self.timers.insert(self.last_timer, timer);
+        out.push(Action::SetTimer { token: TimerToken(self.last_timer), after });
     }
 }
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -2,14 +2,14 @@
 //! attempts and what the other files answer when asked: which endpoint, whether again, whether there is
 //! room.
 
-use super::choice::ListTrust;
-use super::cold::RATE_SECONDS;
-use super::limits::REPEAT_LEAST;
-use super::list::Endpoint;
-use super::retries::{OVERDUE_SPREADS, RETRY_EARN, RETRY_SAVED, SILENT_SPREADS, STALE_REFUTED};
+use super::choice::Eligibility;
+use super::endpoint_list::Endpoint;
+use super::limits::CLIENT_RETRY_MIN_FACTOR;
+use super::retries::{IDLE_DROP_REFUTED, LOST_DEVIATIONS, RETRY_EARN, RETRY_SAVED, SLOW_DEVIATIONS};
+use super::slow_start::RATE_DECAY_S;
 use super::{Balancer, Timer};
 use crate::api::*;
-use crate::stats::LATENCY_FIRST;
+use crate::stats::LATENCY_MIN_SAMPLES;
 use std::time::Duration;
 
 /// What an attempt is known to have done.
@@ -30,7 +30,7 @@
     pub(super) idle: Duration,
     pub(super) state: AttemptState,
     /// The endpoint has all of it and works on it: only then is it a call in flight.
-    pub(super) counted: bool,
+    pub(super) counts_in_flight: bool,
 }
 
 /// A request until it is finished and all its attempts have ended.
@@ -39,14 +39,14 @@
     pub(super) arrived: Duration,
     pub(super) deadline: Duration,
     /// Part of its class's worth: little above its tenant's share, and for a repeat.
-    pub(super) part: f64,
+    pub(super) worth: f64,
     pub(super) attempts: Vec<Attempt>,
     pub(super) finished: bool,
     pub(super) streaming: bool,
     /// Its body is still coming.
-    pub(super) passing: bool,
+    pub(super) uploading: bool,
     /// Its body can't be sent again.
-    pub(super) spent: bool,
+    pub(super) no_retry: bool,
 }
 
 impl Pending {
@@ -55,7 +55,7 @@
         self.finished || self.streaming
     }
 
-    pub(super) fn none_out(&self) -> bool {
+    pub(super) fn none_in_flight(&self) -> bool {
         self.attempts.iter().all(|a| a.state != AttemptState::InFlight)
     }
 
@@ -71,63 +71,63 @@
         if self.requests.contains_key(&id) {
             return;
         }
-        self.arrivals.count(now, RATE_SECONDS);
+        self.arrivals.count(now, RATE_DECAY_S);
         self.retry_tokens = (self.retry_tokens + RETRY_EARN).min(RETRY_SAVED);
         let class = request.class.0.min(self.settings.classes.len() - 1);
-        let over_share = self.over_share(now, request.tenant.0);
-        let mut part = if over_share { self.settings.over_share_worth } else { 1.0 };
+        let exceeds_share = self.exceeds_share(now, request.tenant.0);
+        let mut worth = if exceeds_share { self.settings.over_share_worth } else { 1.0 };
         if request.client_retry {
-            part *= self.settings.classes[class].late_value.max(REPEAT_LEAST);
+            worth *= self.settings.classes[class].late_value.max(CLIENT_RETRY_MIN_FACTOR);
         }
         let (arrived, deadline, attempts) = (now, now + request.time_left, Vec::new());
-        let (finished, streaming, passing, spent) = (false, false, request.streamed_body, false);
+        let (finished, streaming, uploading, no_retry) = (false, false, request.streamed_body, false);
         let pending =
-            Pending { class, arrived, deadline, part, attempts, finished, streaming, passing, spent };
+            Pending { class, arrived, deadline, worth, attempts, finished, streaming, uploading, no_retry };
         self.requests.insert(id, pending);
-        if !passing {
+        if !uploading {
             self.set_timer(request.time_left, Timer::Deadline(id), out);
         }
-        let trust_before = self.trust;
-        self.advance(now, id, out);
-        let held = self.held.last() == Some(&id);
-        let lapsed = matches!(self.trust, ListTrust::Unbroken { .. });
-        self.held_without_lease += u64::from(held && lapsed);
-        self.log_trust(trust_before, out);
+        let eligibility_before = self.eligibility;
+        self.dispatch(now, id, out);
+        let queued = self.queued.last() == Some(&id);
+        let expired = matches!(self.eligibility, Eligibility::ContinuouslyHealthy { .. });
+        self.queued_without_lease += u64::from(queued && expired);
+        self.log_eligibility(eligibility_before, out);
         self.probe_endpoints(now, out);
     }
 
     /// A slow body has come whole: only now does the endpoint begin, and the request's time run.
-    pub(super) fn on_whole(&mut self, now: Duration, id: RequestId, left: Duration, out: &mut Vec<Action>) {
-        let Some(pending) = self.requests.get_mut(&id).filter(|p| p.passing) else { return };
-        (pending.passing, pending.arrived, pending.deadline) = (false, now, now + left);
+    pub(super) fn on_body(&mut self, now: Duration, id: RequestId, left: Duration, out: &mut Vec<Action>) {
+        let Some(pending) = self.requests.get_mut(&id).filter(|p| p.uploading) else { return };
+        (pending.uploading, pending.arrived, pending.deadline) = (false, now, now + left);
         for attempt in
-            pending.attempts.iter_mut().filter(|a| a.state == AttemptState::InFlight && !a.counted)
+            pending.attempts.iter_mut().filter(|a| a.state == AttemptState::InFlight && !a.counts_in_flight)
         {
             attempt.sent = now;
             // One that has left meanwhile holds no calls, and gives none back.
             let Some(&i) = self.index.get(&attempt.endpoint) else { continue };
-            attempt.counted = true;
+            attempt.counts_in_flight = true;
             self.endpoints[i].in_flight += 1;
-            self.windows[self.settings.side(attempt.zone)].out += 1;
+            self.windows[self.settings.side(attempt.zone)].in_flight += 1;
         }
         self.set_timer(left, Timer::Deadline(id), out);
     }
 
     /// Sends a request that has no attempt out, or holds it, or gives it up.
-    pub(super) fn advance(&mut self, now: Duration, id: RequestId, out: &mut Vec<Action>) {
+    pub(super) fn dispatch(&mut self, now: Duration, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         if pending.settled() {
             return;
         }
-        let spent = pending.attempts.len() as u32 >= self.settings.limits.max_attempts;
+        let exhausted = pending.attempts.len() as u32 >= self.settings.limits.max_attempts;
         // A held repeat may have outlived the time in which its key is remembered: ask again here.
-        let spent = spent || pending.deadline <= now || self.too_late(now, pending);
-        if spent || !self.may_repeat(now, id) {
+        let exhausted = exhausted || pending.deadline <= now || self.too_late(now, pending);
+        if exhausted || !self.may_repeat(now, id) {
             return self.give_up(id, out);
         }
-        let Some(i) = self.pick(now, id) else {
-            self.held.push(id);
-            return self.set_recheck(out);
+        let Some(i) = self.pick_endpoint(now, id) else {
+            self.queued.push(id);
+            return self.schedule_recheck(out);
         };
         self.send(now, id, i, out);
     }
@@ -143,15 +143,15 @@
     }
 
     pub(super) fn send(&mut self, now: Duration, id: RequestId, i: usize, out: &mut Vec<Action>) {
-        let (cold_tokens, side) = (self.cold_tokens(now, i), self.side(i));
-        let silent = self.silent(now);
+        let (slow_start_tokens, side) = (self.slow_start_tokens(now, i), self.side(i));
+        let lossy = self.answers_lost(now);
         let endpoint = &mut self.endpoints[i];
         let Some(pending) = self.requests.get_mut(&id) else { return };
-        let mut idle = endpoint.heard.map_or(Duration::ZERO, |at| now.saturating_sub(at));
-        if silent && idle >= self.reaped_after {
+        let mut idle = endpoint.idle_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
+        if lossy && idle >= self.idle_drop_after {
             // Something on the way drops idle connections unseen; a handshake costs less than a lost call.
             out.push(Action::CloseIdle { endpoint: endpoint.info.id });
-            endpoint.heard = None;
+            endpoint.idle_since = None;
             idle = Duration::ZERO;
         }
         // To a keyed request that may have run, the window closes also on an attempt that still connects,
@@ -162,15 +162,15 @@
             }
             _ => None,
         };
-        let listed_until = match self.trust {
-            ListTrust::Unbroken { .. } => endpoint.healthy_until(),
+        let listed_until = match self.eligibility {
+            Eligibility::ContinuouslyHealthy { .. } => endpoint.healthy_until(),
             _ => self.schedule.lease().end().map(|end| end.at),
         };
         let write_within = window.into_iter().chain(listed_until.map(|at| at.saturating_sub(now))).min();
-        let counted = !pending.passing;
-        endpoint.in_flight += u32::from(counted);
-        self.windows[side].out += u32::from(counted);
-        (endpoint.cold_tokens, endpoint.cold_at) = (cold_tokens - 1.0, now);
+        let counts_in_flight = !pending.uploading;
+        endpoint.in_flight += u32::from(counts_in_flight);
+        self.windows[side].in_flight += u32::from(counts_in_flight);
+        (endpoint.slow_start_tokens, endpoint.slow_start_at) = (slow_start_tokens - 1.0, now);
         pending.attempts.push(Attempt {
             endpoint: endpoint.info.id,
             cell: endpoint.info.cell,
@@ -178,13 +178,13 @@
             sent: now,
             idle,
             state: AttemptState::InFlight,
-            counted,
+            counts_in_flight,
         });
         let timeout = pending.deadline.saturating_sub(now);
         out.push(Action::Send { request: id, endpoint: endpoint.info.id, timeout, write_within });
         let (number, class) = (AttemptNo(pending.attempts.len() as u32 - 1), pending.class);
-        let overdue = self.latency[class].overdue(if silent { OVERDUE_SPREADS } else { SILENT_SPREADS });
-        if counted && self.latency[class].seen >= LATENCY_FIRST && overdue < timeout {
+        let overdue = self.latency[class].above_mean(if lossy { SLOW_DEVIATIONS } else { LOST_DEVIATIONS });
+        if counts_in_flight && self.latency[class].seen >= LATENCY_MIN_SAMPLES && overdue < timeout {
             self.set_timer(overdue, Timer::Overdue(id, number), out);
         }
     }
@@ -201,8 +201,8 @@
         } else {
             AttemptState::MaybeProcessed
         };
-        let Attempt { endpoint, zone, idle, sent, counted, .. } = *attempt;
-        let (class, spent, side) = (pending.class, pending.spent, self.settings.side(zone));
+        let Attempt { endpoint, zone, idle, sent, counts_in_flight, .. } = *attempt;
+        let (class, no_retry, side) = (pending.class, pending.no_retry, self.settings.side(zone));
         if let Some(&i) = self.index.get(&endpoint) {
             // A call sent before one that was refused says nothing against that, also if it is answered
             // after it.
@@ -216,11 +216,11 @@
                 continuity.broken(now);
             }
         }
-        if ended.outcome == Outcome::Ok && idle >= self.reaped_after {
-            self.stale -= STALE_REFUTED;
+        if ended.outcome == Outcome::Ok && idle >= self.idle_drop_after {
+            self.idle_drops -= IDLE_DROP_REFUTED;
         }
-        if self.stale < 1.0 {
-            (self.reaped_after, self.stale) = (Duration::MAX, self.stale.max(0.0));
+        if self.idle_drops < 1.0 {
+            (self.idle_drop_after, self.idle_drops) = (Duration::MAX, self.idle_drops.max(0.0));
         }
         let overtaken = |p: &Pending| {
             p.attempts[..ended.attempt.0 as usize]
@@ -229,32 +229,32 @@
                 .find(|a| a.state == AttemptState::InFlight)
         };
         if ended.outcome == Outcome::Ok
-            && let Some(silent) = self.requests.get(&id).and_then(overtaken)
+            && let Some(unanswered) = self.requests.get(&id).and_then(overtaken)
         {
-            self.note_silence(now, silent);
+            self.record_unanswered(now, unanswered);
         }
-        if counted {
-            self.learn(now, endpoint, side, class, &ended);
+        if counts_in_flight {
+            self.record_outcome(now, endpoint, side, class, &ended);
         } else if let Some(&i) = self.index.get(&endpoint)
             && ended.outcome == Outcome::ConnectFailed
-            && !spent
+            && !no_retry
         {
-            self.endpoints[i].add_heat(now);
+            self.endpoints[i].add_failure_penalty(now);
         }
         if ended.finished {
             self.finish(id, out);
         }
-        let idle = self.requests.get(&id).is_some_and(|p| !p.settled() && p.none_out());
+        let idle = self.requests.get(&id).is_some_and(|p| !p.settled() && p.none_in_flight());
         if idle {
             if self.retry_tokens >= 1.0 && self.may_repeat(now, id) {
                 self.retry_tokens -= 1.0;
-                self.advance(now, id, out);
+                self.dispatch(now, id, out);
             } else {
                 self.give_up(id, out);
             }
         }
-        self.forget(id);
-        self.release_held(now, out);
+        self.remove_if_done(id);
+        self.dispatch_queued(now, out);
     }
 
     /// The last word on a request that can't be served: a refusal where that is true, else a failure.
@@ -286,12 +286,12 @@
                 }
             }
         }
-        self.held.retain(|&held| held != id);
-        self.forget(id);
+        self.queued.retain(|&queued| queued != id);
+        self.remove_if_done(id);
     }
 
-    fn forget(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|p| p.finished && p.none_out()) {
+    fn remove_if_done(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|p| p.finished && p.none_in_flight()) {
             self.requests.remove(&id);
         }
     }
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -13,38 +13,39 @@
 pub(super) const RETRY_SAVED: f64 = 10.0;
 /// An attempt's answer may never come once it is out for the mean and so many mean distances from it: few
 /// answers take as long even where work is heavy-tailed ...
-pub(super) const SILENT_SPREADS: f64 = 8.0;
+pub(super) const LOST_DEVIATIONS: f64 = 8.0;
 /// ... or already after so many, while endpoints are known to be silent.
-pub(super) const OVERDUE_SPREADS: f64 = 2.0;
+pub(super) const SLOW_DEVIATIONS: f64 = 2.0;
 /// Silences less those that answers refute, before they are acted on: above one in ten attempts.
-const SILENCE_ACTS: f64 = 1.5;
-pub(super) const SILENCE_REFUTED: f64 = 0.1;
-const SILENCE_MOST: f64 = 6.0;
+const UNANSWERED_THRESHOLD: f64 = 1.5;
+pub(super) const UNANSWERED_REFUTED: f64 = 0.1;
+const UNANSWERED_MAX: f64 = 6.0;
 /// Seconds in which silence is forgotten to a third, so that old connections are trusted again.
-pub(super) const SILENCE_SECONDS: f64 = 15.0;
+pub(super) const UNANSWERED_DECAY_S: f64 = 15.0;
 /// What an answer on an old connection says against its kind being dropped unseen.
-pub(super) const STALE_REFUTED: f64 = 0.25;
+pub(super) const IDLE_DROP_REFUTED: f64 = 0.25;
 /// Above this share of late answers silence is taken for a jam.
 const LATE_SHARE: f64 = 0.3;
 
 impl Balancer {
     /// Whether answers fail to come while those that come are timely: dead machines, connections dropped
     /// unseen, a class swallowed. In a jam answers come late, and copies would only feed it.
-    pub(super) fn silent(&self, now: Duration) -> bool {
-        self.late_share < LATE_SHARE && self.silence.read(now, SILENCE_SECONDS) >= SILENCE_ACTS
+    pub(super) fn answers_lost(&self, now: Duration) -> bool {
+        self.late_share < LATE_SHARE
+            && self.unanswered.read(now, UNANSWERED_DECAY_S) >= UNANSWERED_THRESHOLD
     }
 
     /// An attempt was overtaken, or is out for far longer than any answer takes.
-    pub(super) fn note_silence(&mut self, now: Duration, attempt: Attempt) {
-        self.silence.set(now, (self.silence.read(now, SILENCE_SECONDS) + 1.0).min(SILENCE_MOST));
+    pub(super) fn record_unanswered(&mut self, now: Duration, attempt: Attempt) {
+        self.unanswered.set(now, (self.unanswered.read(now, UNANSWERED_DECAY_S) + 1.0).min(UNANSWERED_MAX));
         if attempt.idle.is_zero() {
-            self.stale -= 1.0;
+            self.idle_drops -= 1.0;
         } else {
-            self.stale = (self.stale + 1.0).min(SILENCE_MOST);
-            self.reaped_after = self.reaped_after.min(attempt.idle);
+            self.idle_drops = (self.idle_drops + 1.0).min(UNANSWERED_MAX);
+            self.idle_drop_after = self.idle_drop_after.min(attempt.idle);
         }
         if let Some(&i) = self.index.get(&attempt.endpoint) {
-            self.endpoints[i].add_heat(now);
+            self.endpoints[i].add_failure_penalty(now);
         }
     }
 
@@ -57,23 +58,24 @@
         out: &mut Vec<Action>,
     ) {
         let Some(pending) = self.requests.get(&id) else { return };
-        let n = number.0 as usize;
-        let (attempt, tries) = (pending.attempts[n], pending.attempts.len());
-        if pending.settled() || attempt.state != AttemptState::InFlight || tries > n + 1 {
+        let index = number.0 as usize;
+        let (attempt, attempts) = (pending.attempts[index], pending.attempts.len());
+        if pending.settled() || attempt.state != AttemptState::InFlight || attempts > index + 1 {
             return;
         }
-        let long = self.latency[pending.class].overdue(SILENT_SPREADS);
-        if now + self.settings.tick >= attempt.sent + long && self.late_share < LATE_SHARE {
-            self.note_silence(now, attempt);
+        let overdue = self.latency[pending.class].above_mean(LOST_DEVIATIONS);
+        if now + self.settings.tick >= attempt.sent + overdue && self.late_share < LATE_SHARE {
+            self.record_unanswered(now, attempt);
         }
-        let (limits, copies) = (&self.settings.limits, self.settings.limits.second_copies);
-        let more = tries < limits.max_attempts as usize;
-        if !more || !self.silent(now) || self.retry_tokens < 1.0 || !self.may_repeat(now, id) {
+        let (limits, hedging) = (&self.settings.limits, self.settings.limits.second_copies);
+        let attempts_left = attempts < limits.max_attempts as usize;
+        if !attempts_left || !self.answers_lost(now) || self.retry_tokens < 1.0 || !self.may_repeat(now, id)
+        {
             return;
         }
-        if !copies && limits.cancelling {
+        if !hedging && limits.cancelling {
             out.push(Action::Cancel { request: id, attempt: number });
-        } else if copies && let Some(i) = self.pick(now, id) {
+        } else if hedging && let Some(i) = self.pick_endpoint(now, id) {
             self.retry_tokens -= 1.0;
             self.send(now, id, i, out);
         }
@@ -82,7 +84,7 @@
     /// Rule 2: whether a further attempt is allowed at all.
     pub(super) fn may_repeat(&self, now: Duration, id: RequestId) -> bool {
         let Some(pending) = self.requests.get(&id) else { return false };
-        if pending.spent {
+        if pending.no_retry {
             return false;
         }
         let ran = pending.may_have_run().next();
--- a/src/policy/cold.rs
+++ b/src/policy/slow_start.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 
 /// Share of the multiple at which a cold endpoint falls that all balancers together may use.
-const COLD_CAUTION: f64 = 0.5;
+const SLOW_START_CAUTION: f64 = 0.5;
 /// Seconds over which rates are averaged.
-pub(super) const RATE_SECONDS: f64 = 5.0;
+pub(super) const RATE_DECAY_S: f64 = 5.0;
 /// Seconds for which a warm endpoint's proven rate is believed without new proof.
-const PROOF_SECONDS: f64 = 30.0;
+const WARM_RATE_DECAY_S: f64 = 30.0;
 
 impl Balancer {
     /// The part of its capacity that an endpoint surely has: it rises evenly from the cold share.
-    pub(super) fn warmth(&self, now: Duration, i: usize) -> f64 {
+    pub(super) fn warm_fraction(&self, now: Duration, i: usize) -> f64 {
         let rules = &self.settings.rules;
         let Some(started) = self.endpoints[i].info.started else { return 1.0 };
         let age = now.saturating_sub(started).as_secs_f64() / rules.warm_within.as_secs_f64().max(1e-3);
@@ -22,28 +22,32 @@
 
     /// Rule 4. All balancers together may send a cold endpoint a part of the multiple at which it
     /// falls; each keeps to its own proportion, judged by what warm endpoints serve for it.
-    pub(super) fn cold_tokens(&self, now: Duration, i: usize) -> f64 {
+    pub(super) fn slow_start_tokens(&self, now: Duration, i: usize) -> f64 {
         let rules = &self.settings.rules;
         let endpoint = &self.endpoints[i];
-        let rate = self.warmth(now, i) * rules.fall_multiple * COLD_CAUTION * self.proven_rate(now);
-        let most = (rate * rules.fall_after.as_secs_f64() * COLD_CAUTION).max(1.0);
-        (endpoint.cold_tokens + rate * now.saturating_sub(endpoint.cold_at).as_secs_f64()).min(most)
+        let rate = self.warm_fraction(now, i)
+            * rules.fall_multiple
+            * SLOW_START_CAUTION
+            * self.warm_endpoint_rate(now);
+        let most = (rate * rules.fall_after.as_secs_f64() * SLOW_START_CAUTION).max(1.0);
+        (endpoint.slow_start_tokens + rate * now.saturating_sub(endpoint.slow_start_at).as_secs_f64())
+            .min(most)
     }
 
-    pub(super) fn prove(&mut self, now: Duration) {
-        self.served.count(now, RATE_SECONDS);
+    pub(super) fn record_served_by_warm(&mut self, now: Duration) {
+        self.served.count(now, RATE_DECAY_S);
         // Over all that are ready, warm or not: too low a rate for the warm ones errs on the safe side.
-        let rate = self.served.read(now, RATE_SECONDS) / self.ready().max(1.0);
-        if rate > self.proven_rate(now) || self.proven.value == 0.0 {
-            self.proven.set(now, rate);
+        let rate = self.served.read(now, RATE_DECAY_S) / self.ready_count().max(1.0);
+        if rate > self.warm_endpoint_rate(now) || self.warm_rate.value == 0.0 {
+            self.warm_rate.set(now, rate);
         }
     }
 
     /// Requests a second that one warm endpoint serves for this balancer alone.
-    fn proven_rate(&self, now: Duration) -> f64 {
-        if self.proven.value > 0.0 {
-            return self.proven.read(now, PROOF_SECONDS);
+    fn warm_endpoint_rate(&self, now: Duration) -> f64 {
+        if self.warm_rate.value > 0.0 {
+            return self.warm_rate.read(now, WARM_RATE_DECAY_S);
         }
-        self.arrivals.rate(now, RATE_SECONDS, self.born) / self.ready().max(1.0)
+        self.arrivals.rate(now, RATE_DECAY_S, self.created_at) / self.ready_count().max(1.0)
     }
 }
--- a/src/stats.rs
+++ b/src/stats.rs
@@ -5,34 +5,34 @@
 use std::time::Duration;
 
 /// The first latencies of a class, averaged evenly: before so many its mean is not yet judged by.
-pub(crate) const LATENCY_FIRST: u32 = 20;
+pub(crate) const LATENCY_MIN_SAMPLES: u32 = 20;
 /// Weight of one latency in the running mean.
-const LATENCY_WEIGHT: f64 = 0.05;
+const MEAN_WEIGHT: f64 = 0.05;
 /// Answers after which the unhurried mean only falls with the mean: where each of many balancers has few calls,
 /// a jam can form before twenty answers have come, and would pass for normal.
-pub(crate) const UNHURRIED_FIRST: u32 = 5;
+pub(crate) const UNLOADED_SAMPLES: u32 = 5;
 /// Seconds in which the least mean rises by two thirds of the way to the mean: by time and slowly, or a jam
 /// would pass for normal, the sooner the more calls a balancer has.
-const UNHURRIED_SECONDS: f64 = 60.0;
+const UNLOADED_RISE_S: f64 = 60.0;
 
 /// A value, as of `at`, that falls to a third in a stated number of seconds.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Fading {
+pub(crate) struct DecayingValue {
     pub(crate) value: f64,
     at: Duration,
 }
 
 /// What is left of a value after so many seconds, if it falls to a third in `third`.
-fn fade(seconds: f64, third: f64) -> f64 {
-    (-seconds / third).exp()
+fn decay(seconds: f64, time_constant: f64) -> f64 {
+    (-seconds / time_constant).exp()
 }
 
-impl Fading {
-    pub(crate) fn read(&self, now: Duration, third: f64) -> f64 {
+impl DecayingValue {
+    pub(crate) fn read(&self, now: Duration, time_constant: f64) -> f64 {
         if self.value == 0.0 {
             return 0.0;
         }
-        self.value * fade(now.saturating_sub(self.at).as_secs_f64(), third)
+        self.value * decay(now.saturating_sub(self.at).as_secs_f64(), time_constant)
     }
 
     pub(crate) fn set(&mut self, now: Duration, value: f64) {
@@ -47,7 +47,7 @@
     /// The rate a second, put right for the counting not having gone on for long yet.
     pub(crate) fn rate(&self, now: Duration, seconds: f64, began: Duration) -> f64 {
         let age = now.saturating_sub(began).as_secs_f64().max(0.5);
-        self.read(now, seconds) / (1.0 - fade(age, seconds))
+        self.read(now, seconds) / (1.0 - decay(age, seconds))
     }
 }
 
@@ -56,8 +56,8 @@
 pub(crate) struct Latency {
     pub(crate) mean: f64,
     /// Mean distance from the mean.
-    pub(crate) spread: f64,
-    pub(crate) unhurried: f64,
+    pub(crate) deviation: f64,
+    pub(crate) unloaded: f64,
     pub(crate) seen: u32,
     at: Duration,
 }
@@ -65,31 +65,31 @@
 impl Latency {
     /// The mean and so many times the mean distance from it, which is never taken for less than a quarter of
     /// the mean: where all answers take alike, the next one may still be a little later.
-    pub(crate) fn overdue(&self, spreads: f64) -> Duration {
-        Duration::from_secs_f64(self.mean + spreads * self.spread.max(self.mean / 4.0))
+    pub(crate) fn above_mean(&self, deviations: f64) -> Duration {
+        Duration::from_secs_f64(self.mean + deviations * self.deviation.max(self.mean / 4.0))
     }
 
     pub(crate) fn add(&mut self, now: Duration, seconds: f64) {
-        let kept = fade(now.saturating_sub(self.at).as_secs_f64(), UNHURRIED_SECONDS);
+        let kept = decay(now.saturating_sub(self.at).as_secs_f64(), UNLOADED_RISE_S);
         self.at = now;
         let weight =
-            if self.seen < LATENCY_FIRST { 1.0 / f64::from(self.seen + 1) } else { LATENCY_WEIGHT };
+            if self.seen < LATENCY_MIN_SAMPLES { 1.0 / f64::from(self.seen + 1) } else { MEAN_WEIGHT };
         self.seen = self.seen.saturating_add(1);
-        self.spread += weight * ((seconds - self.mean).abs() - self.spread);
+        self.deviation += weight * ((seconds - self.mean).abs() - self.deviation);
         self.mean += weight * (seconds - self.mean);
-        self.unhurried = self.mean + kept * (self.unhurried - self.mean);
-        if self.seen <= UNHURRIED_FIRST || self.mean < self.unhurried {
-            self.unhurried = self.mean;
+        self.unloaded = self.mean + kept * (self.unloaded - self.mean);
+        if self.seen <= UNLOADED_SAMPLES || self.mean < self.unloaded {
+            self.unloaded = self.mean;
         }
     }
 }
 
 /// Random numbers from a balancer's own seed.
-pub(crate) struct Draws(Pcg32);
+pub(crate) struct SeededRng(Pcg32);
 
-impl Draws {
+impl SeededRng {
     pub(crate) fn new(seed: u64) -> Self {
-        Draws(Pcg32::seed_from_u64(seed))
+        SeededRng(Pcg32::seed_from_u64(seed))
     }
 
     /// An even draw from `0.0..1.0`.
--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_steady_count_reads_as_its_rate() {
-    let mut count = Fading::default();
+    let mut count = DecayingValue::default();
     for n in 0..4000 {
         count.count(Duration::from_millis(n * 10), 5.0);
     }
@@ -15,7 +15,7 @@
 
 #[test]
 fn draws_are_even_and_repeat_with_the_seed() {
-    let (mut a, mut b, mut counts) = (Draws::new(3), Draws::new(3), [0; 7]);
+    let (mut a, mut b, mut counts) = (SeededRng::new(3), SeededRng::new(3), [0; 7]);
     for _ in 0..7000 {
         let draw = a.below(7);
         assert_eq!(draw, b.below(7));
