--- a/src/fleet/log/mod.rs
+++ b/src/fleet/log/mod.rs
@@ -1,13 +1,14 @@
-//! Agreement: one log that 3, 5 or 7 named voters write together, and everybody else follows.
+//! A replicated log that 3, 5 or 7 named voters write together and that every other process follows.
 //!
-//! Consensus is a kept crate's (raft): pre-vote, a leader that steps down without its majority, learners, joint changes of
-//! voters. `wire` has its messages in a form of our own, `storage` what it keeps, `voter` the crate with its disk, `founding`
-//! how a log begins, `replicated_state` the state that comes of it. No I/O, and time is handed in.
+//! Consensus is implemented by the `raft` crate: pre-vote, a leader that steps down when it loses its majority,
+//! learners, and joint changes of the voters. `wire` holds the project's own encoding of its messages, `storage` the
+//! persisted log, `voter` the Raft node with its disk, `founding` the creation of a log, and `replicated_state` the
+//! state that the log produces. The module does no I/O, and the time is passed in.
 //!
-//! A voter's number is drawn with its state folder. Who comes back with another folder is somebody else, who may learn and
-//! then take the place of the one of its name; the old number never votes again. Where more than half of the voters have
-//! lost their memory nothing is agreed any more, and that is said ([`Status::lost_state`]): the rest may not go on as if there had
-//! been no others.
+//! A voter's id is drawn with its state folder. A process that restarts with another folder is a new process: it may
+//! become a learner and then replace the voter of the same name, while the old id never votes again. When more than half
+//! of the voters have lost their state, nothing can be committed any more, and [`Status::lost_state`] reports it: the
+//! remaining voters must not continue as if the others had never existed.
 
 mod founding;
 mod replicated_state;
@@ -32,81 +33,82 @@
 use voter::{Effects, Voter};
 use wire::{Entry, Message, Payload, Snapshot, VoterConfig};
 
-/// Under this name the promise of a founding lies among the grants.
+/// Name of the grant that stores this process's promise during a founding.
 const FOUNDING_GRANT: &str = "log/founding";
-/// And under this the members with which the log was founded, at all that have a part in its vote.
+/// Name of the grant that stores the members the log was founded with; every voter and learner has it.
 const FOUNDED_GRANT: &str = "log/founded";
-/// Orders of this process that may wait for their outcome.
+/// Commands of this process that may be pending.
 const MAX_PENDING_COMMANDS: usize = 64;
-/// Between two times that the same is said, in ticks: an order without an outcome, a founding, a wish to succeed.
+/// Ticks between two transmissions of the same message: a command without outcome, a founding message, or a request to
+/// replace a voter.
 const RESEND_TICKS: u32 = 10;
-/// Voters whose names are remembered as they speak.
+/// Limit on the remembered names of senders.
 const MAX_SENDER_NAMES: usize = 64;
-/// A process that follows asks again after so many ticks.
+/// Ticks between two fetches of a follower.
 const FETCH_TICKS: u32 = 10;
 
-/// What a process is told of the log.
+/// Configuration of the log in one process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Whose messages are heard: the cluster's name.
+    /// Name of the cluster; frames of other clusters are dropped.
     pub cluster: String,
-    /// This process's name.
+    /// Name of this process.
     pub name: String,
-    /// Its number, drawn with its state folder; not 0.
+    /// Id of this process, drawn with its state folder; not 0.
     pub id: u64,
-    /// Who orders: drawn at each start.
+    /// Client id of this process, drawn at each start.
     pub client: u128,
-    /// The names of the voters: 3, 5 or 7, alike in all processes.
+    /// Names of the voters: 3, 5 or 7, equal in all processes.
     pub voters: BTreeSet<String>,
-    /// The longest that a message and its answer take on a good day: a tick.
+    /// Longest round trip of a message under normal conditions; one tick.
     pub round_trip: Duration,
-    /// For the times of elections.
+    /// Seed of the randomized election timeouts.
     pub seed: u64,
 }
 
-/// What is to be done or said.
+/// An effect that the caller has to carry out or report.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// This is to be sent to the process of this name.
+    /// Send this frame to the process of this name.
     Send(String, Vec<u8>),
-    /// These changes are to be made durable as one, and [`Log::durable`] told; batches are numbered from 1.
+    /// Persist these changes atomically and then call [`Log::durable`]; batches are numbered from 1.
     Write(u64, Vec<Change>),
-    /// An order of this process has come to an end: its number, and what became of it.
+    /// A command of this process has completed: its number and its outcome.
     Completed(u64, Outcome),
 }
 
-/// Why an order was not taken.
+/// Reason for refusing a proposed command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ProposeError {
-    /// Too many wait.
+    /// Too many commands are pending.
     #[error("{MAX_PENDING_COMMANDS} commands are already pending")]
     Full,
-    /// It is larger than may be.
+    /// The key and value are too large.
     #[error("command exceeds {MAX_KEY_VALUE_BYTES} bytes")]
     TooLarge,
 }
 
-/// The log at one process, in made time.
+/// The log of one process. Time is passed in by the caller.
 pub struct Log {
     settings: Settings,
     mode: Mode,
     log_id: u64,
-    /// The founding that is known, for those that ask.
+    /// The members of the known founding, kept to answer processes that ask for them.
     founded: Option<Members>,
     ticks: u32,
     tick_at: Duration,
     last_number: u64,
-    /// Orders of this process without an outcome.
+    /// Commands of this process that have no outcome yet.
     pending_commands: BTreeMap<u64, Put>,
-    /// Which of the voters is asked next by one that follows or orders.
+    /// Rotating index of the voter that a process without a vote asks next.
     next_asked: usize,
-    /// Voters known to have lost their memory, by name, and the tick at which they last said so.
+    /// Voters known to have lost their state, by name, with the tick of their last request for replacement.
     lost_state: BTreeMap<String, u32>,
-    /// Names of voters that have spoken, by number: one that learns knows them by nothing else.
+    /// Names of senders by id: a new learner has no other way to address the other voters.
     sender_names: BTreeMap<u64, String>,
     dropped_frames: [u64; 3],
     stopped: bool,
-    /// The batch that makes the promise of a founding durable, and what it promises.
+    /// The batch that persists the promise of a founding, and the promised members.
     pending_promise: Option<(u64, Members)>,
     own_batches: u64,
 }
@@ -117,7 +119,7 @@
     Following(Follower),
 }
 
-/// What one that follows has.
+/// State of a process that follows the log without being a voter.
 #[derive(Default)]
 struct Follower {
     state: ReplicatedState,
@@ -126,7 +128,7 @@
 }
 
 impl Log {
-    /// A process with what it remembers.
+    /// Creates the log from the persisted state.
     pub fn new(settings: Settings, memory: &Memory, now: Duration) -> Result<Self, LoadError> {
         let read_grant =
             |name| memory.grants.get(name).and_then(|bytes| postcard::from_bytes::<Members>(bytes).ok());
@@ -159,12 +161,12 @@
         })
     }
 
-    /// When it wants to be ticked next.
+    /// Time of the next tick.
     pub fn due(&self) -> Duration {
         self.tick_at
     }
 
-    /// Does what is due. To be called at [`Log::due`] or later.
+    /// Advances the clock and does what is due. Must be called at [`Log::due`] or later.
     pub fn tick(&mut self, now: Duration, out: &mut Vec<Output>) {
         if now < self.tick_at {
             return;
@@ -210,7 +212,7 @@
         self.process_ready(now, out);
     }
 
-    /// Takes a frame as it came.
+    /// Handles a received frame.
     pub fn receive(&mut self, now: Duration, frame: &[u8], out: &mut Vec<Output>) {
         if self.stopped {
             return;
@@ -222,7 +224,7 @@
         self.process_ready(now, out);
     }
 
-    /// Takes an order; its number. It is sent until it has an outcome.
+    /// Submits a command and returns its number. The command is resent until it has an outcome.
     pub fn propose(&mut self, now: Duration, put: Put, out: &mut Vec<Output>) -> Result<u64, ProposeError> {
         if put.key.len() + put.bytes.as_ref().map_or(0, Vec::len) > MAX_KEY_VALUE_BYTES {
             return Err(ProposeError::TooLarge);
@@ -237,7 +239,7 @@
         Ok(self.last_number)
     }
 
-    /// All batches up to this one are durable.
+    /// Records that all batches up to this one are durable.
     pub fn durable(&mut self, now: Duration, batch: u64, out: &mut Vec<Output>) {
         if let Some((promised, _)) = &self.pending_promise
             && batch >= *promised
@@ -255,12 +257,13 @@
         self.process_ready(now, out);
     }
 
-    /// Nothing is kept any more: whatever this process says from now on could be forgotten, so it says nothing.
+    /// Stops all participation: called when nothing can be persisted any more, or when other members remember a later
+    /// start on this state folder. Whatever this process sent from then on could be forgotten.
     pub fn stop(&mut self) {
         self.stopped = true;
     }
 
-    /// What is agreed, as far as it has come here.
+    /// The replicated state as far as it is known here; none before a log exists.
     pub fn state(&self) -> Option<&ReplicatedState> {
         match &self.mode {
             Mode::Founding(_) => None,
@@ -269,7 +272,7 @@
         }
     }
 
-    /// How things are.
+    /// Current status of the log in this process.
     pub fn status(&self) -> Status {
         let names_of = |state: &ReplicatedState, ids: &[u64]| {
             ids.iter().filter_map(|id| state.names.get(id).cloned()).collect::<Vec<_>>()
@@ -331,7 +334,7 @@
                 }
                 match &mut self.mode {
                     Mode::Voting(voter) => voter.receive(message),
-                    // It is let in: from here on the leader tells it everything.
+                    // The leader has added this process as a learner and sends it the whole log from here on.
                     Mode::Following(_) => self.become_learner(message, out),
                     Mode::Founding(_) => {}
                 }
@@ -385,21 +388,21 @@
         }
     }
 
-    /// All have promised: the log begins with who votes, at index 1.
+    /// All voters have promised: the log begins with a snapshot of the members at index 1.
     fn found_log(&mut self, members: Members, out: &mut Vec<Output>) {
-        let state = postcard::to_stdvec(&ReplicatedState::founded(&members)).unwrap_or_default(); // as above
+        let state = postcard::to_stdvec(&ReplicatedState::founded(&members)).unwrap_or_default(); // cannot fail
         let voters = VoterConfig { voters: members.values().copied().collect(), ..VoterConfig::default() };
         let snapshot = Snapshot { index: 1, term: 1, voters, state };
         let mut memory = Memory::default();
         let promise = Promise { term: 1, vote: None, commit: 1 };
-        let bytes = postcard::to_stdvec(&snapshot).unwrap_or_default(); // as above
+        let bytes = postcard::to_stdvec(&snapshot).unwrap_or_default(); // cannot fail
         let changes = vec![
             grant_change(FOUNDED_GRANT, &members),
             Change::Promise(promise),
             Change::Snapshot(crate::state::memory::Snapshot { index: 1, term: 1, bytes }),
         ];
         changes.iter().cloned().for_each(|change| memory.apply(change));
-        // It was written a moment ago, and reads.
+        // Cannot fail: the state was serialized just above.
         let Ok(voter) = Voter::new(self.settings.id, &memory, self.settings.seed) else { return };
         self.own_batches += 1;
         out.push(Output::Write(self.own_batches, changes));
@@ -408,7 +411,7 @@
         self.mode = Mode::Voting(Box::new(voter));
     }
 
-    /// A learner begins with nothing; what it keeps from then on is its own.
+    /// A learner starts with an empty log and persists its own from then on.
     fn become_learner(&mut self, message: wire::RaftMessage, out: &mut Vec<Output>) {
         let Some(members) = &self.founded else { return };
         let Ok(mut voter) = Voter::new(self.settings.id, &Memory::default(), self.settings.seed) else {
@@ -422,7 +425,7 @@
 
     fn answer_fetch(&mut self, from: String, log_id: u64, after: u64, out: &mut Vec<Output>) {
         let Mode::Voting(voter) = &mut self.mode else { return };
-        // An index of another history says nothing.
+        // An index is meaningless in another log.
         let after = if log_id == self.log_id { after } else { 0 };
         let (snapshot, entries) = voter.committed_after(after);
         if snapshot.is_some() || !entries.is_empty() {
@@ -446,7 +449,7 @@
         }
         for entry in entries {
             if entry.index != follower.applied + 1 {
-                continue; // known, or from further on
+                continue; // already applied, or beyond a gap
             }
             follower.applied = entry.index;
             match entry.payload {
@@ -464,11 +467,11 @@
         }
         let after = follower.applied;
         if after > before {
-            self.send_fetch(after, out); // there may be more
+            self.send_fetch(after, out); // more may be available
         }
     }
 
-    /// Asks one of the voters for what follows, another one each time.
+    /// Fetches the entries after this index from one of the voters, in rotation.
     fn send_fetch(&mut self, after: u64, out: &mut Vec<Output>) {
         let (from, log_id) = (self.settings.name.clone(), self.log_id);
         if let Some(name) = self.next_voter() {
@@ -514,7 +517,7 @@
             voter.process_ready(now, &mut effects);
             self.apply_effects(effects, out);
         }
-        // Also those that came by a snapshot.
+        // Includes commands whose outcome arrived in a snapshot.
         let Some(state) = self.state() else { return };
         let outcome = |number: &u64| Some((*number, state.outcome(self.settings.client, *number)?));
         let completed: Vec<(u64, Outcome)> = self.pending_commands.keys().filter_map(outcome).collect();
@@ -544,6 +547,6 @@
 }
 
 fn grant_change(name: &str, members: &Members) -> Change {
-    let bytes = postcard::to_stdvec(members).unwrap_or_default(); // writing to memory does not fail
+    let bytes = postcard::to_stdvec(members).unwrap_or_default(); // serializing to memory does not fail
     Change::Grant { name: name.to_owned(), bytes: Some(bytes) }
 }
