--- a/src/fleet/log/voter.rs
+++ b/src/fleet/log/voter.rs
@@ -1,7 +1,8 @@
-//! A voter: the crate's core with what it keeps, and the agreed state that comes of it.
+//! A voter or learner: the Raft node with its persisted log and the replicated state that results from it.
 //!
-//! Nothing is said that rests on what is not durable: the crate's promises wait until their batch is. A leader's entries go
-//! out at once, as its own word for them counts only once they are durable here too.
+//! No message is sent that depends on data that is not durable yet: messages that promise something wait until their
+//! batch is durable. A leader's entries are sent at once, because its own acknowledgement of them counts only when
+//! they are durable locally, too.
 
 use super::replicated_state::{Command, Outcome, ReplicatedState};
 use super::storage::{LoadError, LogStorage};
@@ -13,29 +14,31 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Ticks between a leader's heartbeats.
+/// Interval of a leader's heartbeats.
 const HEARTBEAT_TICKS: usize = 4;
-/// Ticks without a leader before a voter asks for votes, and up to as many more at random: with 25 ms a tick 1 to 2 s.
+/// Minimum time without a leader before a voter starts an election; up to as many ticks again are added at random.
+/// With ticks of 25 ms, 1 to 2 s.
 const ELECTION_TICKS: usize = 40;
-/// Bytes of entries in one message.
+/// Limit on the entries in one message.
 const MAX_MESSAGE_BYTES: u64 = 64 << 10;
-/// Messages on their way to one voter before an answer.
+/// Messages to one voter that may be unacknowledged.
 const MAX_INFLIGHT_MESSAGES: usize = 64;
-/// Bytes of orders that may wait to be agreed: more are refused.
+/// Limit on the commands that are not committed yet; further proposals are refused.
 const MAX_UNCOMMITTED_BYTES: u64 = 4 << 20;
-/// Entries behind the agreed state that are kept for those that are behind.
+/// Applied entries that are retained for processes that are behind.
 const RETAINED_ENTRIES: u64 = 4096;
-/// A leader whose disk has not finished a batch for so long hands over.
+/// A leader whose disk has not completed a batch for this long transfers its leadership.
 const DISK_STALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// A state that a leader has sent and that nobody has confirmed after so long was lost on its way: the crate waits for ever.
+/// A snapshot that has not been acknowledged after this time counts as lost in transit. Without this limit the crate
+/// waits for ever.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A successor that learns votes once it is no further behind.
+/// A replacement becomes a voter when it is at most this many entries behind the committed index.
 const MAX_PROMOTION_LAG: u64 = 16;
 
-/// An outcome of somebody's order.
+/// Client, number and outcome of a command that has completed.
 pub(super) type Completed = (u128, u64, Outcome);
 
-/// What a batch that is being written holds up.
+/// A batch that is being written, and the messages that wait for it.
 struct PendingBatch {
     batch: u64,
     ready: u64,
@@ -49,17 +52,17 @@
     seed: u64,
     ticks: u64,
     pub(super) state: ReplicatedState,
-    /// The index up to which that goes.
+    /// Index of the last entry applied to `state`.
     pub(super) applied: u64,
     pending: VecDeque<PendingBatch>,
     batch: u64,
-    /// Those that would succeed a name, by number.
+    /// Processes that want to replace the voter of their name, by id.
     replacements: BTreeMap<u64, String>,
-    /// To whom this leader has sent the state, and when.
+    /// Processes to which this leader has sent a snapshot, with the time.
     snapshots_sent: BTreeMap<u64, Duration>,
 }
 
-/// What is to be done.
+/// What the caller has to carry out.
 #[derive(Default)]
 pub(super) struct Effects {
     pub(super) send: Vec<RaftMessage>,
@@ -68,11 +71,11 @@
 }
 
 impl Voter {
-    /// A voter with this memory, which has a snapshot: a founding writes one.
+    /// Creates a voter from its persisted state, which has a snapshot: a founding writes one.
     pub(super) fn new(id: u64, memory: &Memory, seed: u64) -> Result<Self, LoadError> {
         let storage = LogStorage::load(memory)?;
         let Snapshot { index, ref state, .. } = *storage.snapshot();
-        // A successor has nothing yet: all comes from the leader.
+        // A replacement has no snapshot yet and receives everything from the leader.
         let state = match index {
             0 => ReplicatedState::default(),
             _ => postcard::from_bytes(state).map_err(|_| LoadError::Snapshot(index))?,
@@ -90,7 +93,7 @@
             ..Config::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        // It fails for settings that contradict themselves, and these do not.
+        // Fails only for inconsistent settings, and these are constant.
         let raw = RawNode::new(&config, storage, &logger).map_err(|_| LoadError::Snapshot(index))?;
         let (pending, batch, replacements, snapshots_sent) = Default::default();
         let (seed, ticks) = (seed ^ id, 0);
@@ -110,8 +113,9 @@
         Ok(voter)
     }
 
-    /// The crate draws the time to an election from the system, and plays could not be had again: by the seed, the term and
-    /// the time passed it is another one for each voter and each try. To be called after whatever may have made it draw.
+    /// Replaces the election timeout, which the crate draws from the system's random source, so that simulated runs
+    /// can be reproduced. The value depends on the seed, the term and the elapsed time, and so differs between voters
+    /// and between attempts. Must be called after everything that may have made the crate draw a timeout.
     fn randomize_election_timeout(&mut self) {
         let inputs = [self.seed, self.raw.raft.term, self.ticks / (2 * ELECTION_TICKS as u64)];
         let mixed = inputs.iter().fold(0, |mixed, &input| Pcg32::seed_from_u64(mixed ^ input).next_u64());
@@ -124,7 +128,7 @@
         self.raw.raft.state == StateRole::Leader
     }
 
-    /// The leader's number; 0 where none is known.
+    /// Id of the leader; 0 if none is known.
     pub(super) fn leader(&self) -> u64 {
         self.raw.raft.leader_id
     }
@@ -137,7 +141,7 @@
         VoterConfig::from_raft(&self.raw.raft.prs().conf().to_conf_state())
     }
 
-    /// What was agreed after an index, for one that follows: from the state on where the log does not go back so far.
+    /// Committed entries after this index, for a follower; a snapshot if the log no longer holds them.
     pub(super) fn committed_after(&mut self, after: u64) -> (Option<Box<Snapshot>>, Vec<Entry>) {
         let to = self.applied;
         match self.raw.store().entries_between(after, to, MAX_MESSAGE_BYTES as usize) {
@@ -146,16 +150,17 @@
         }
     }
 
-    /// Takes what another voter says.
+    /// Handles a message of another voter.
     pub(super) fn receive(&mut self, message: RaftMessage) {
         let known = self.raw.raft.prs().get(message.from).is_some() || self.state.names.is_empty();
         let last = self.raw.raft.raft_log.last_index();
         let Some(message) = message.into_raft() else { return };
-        // A leader never tells more to be agreed than it knows its hearer to have: the crate ends the process over that.
+        // A leader never sends a commit index above what it knows the receiver to have. The crate aborts the process
+        // on one.
         let commit_in_range =
             message.commit <= last || message.get_msg_type() != raft::prelude::MessageType::MsgHeartbeat;
         if known && commit_in_range {
-            let _ = self.raw.step(message); // an error: from one that has no part any more
+            let _ = self.raw.step(message); // an error means that the sender has been removed
             self.randomize_election_timeout();
         }
     }
@@ -194,13 +199,13 @@
         }
     }
 
-    /// Proposes an order; whether it was taken: only a leader does, and not more than fits.
+    /// Proposes a command and returns whether it was accepted: only a leader accepts commands, up to a limit.
     pub(super) fn propose(&mut self, command: &Command) -> bool {
-        let bytes = postcard::to_stdvec(command).unwrap_or_default(); // writing to memory does not fail
+        let bytes = postcard::to_stdvec(command).unwrap_or_default(); // serializing to memory does not fail
         self.is_leader() && self.raw.propose(Vec::new(), bytes).is_ok()
     }
 
-    /// Notes who would succeed a voter of its name.
+    /// Registers a process that wants to replace the voter of its name.
     pub(super) fn note_replacement(&mut self, name: String, id: u64) {
         if self.state.names.values().any(|known| *known == name) && !self.config().is_voter(id) {
             self.replacements.retain(|_, known| *known != name);
@@ -208,15 +213,15 @@
         }
     }
 
-    /// Lets successors learn, and vote in the place of those that they succeed once they have caught up.
+    /// Adds replacements as learners, and makes them voters, in the place of those they replace, once caught up.
     fn promote_replacements(&mut self) {
         if self.raw.raft.has_pending_conf() || !self.config().outgoing.is_empty() {
-            return; // one change after another
+            return; // one configuration change at a time
         }
         let config = self.config();
         self.replacements.retain(|id, _| !config.is_voter(*id));
         let Some((&id, name)) = self.replacements.first_key_value() else { return };
-        let context = postcard::to_stdvec(&(id, name)).unwrap_or_default(); // as above
+        let context = postcard::to_stdvec(&(id, name)).unwrap_or_default(); // cannot fail
         let changes = if config.learners.contains(&id) {
             let matched = self.raw.raft.prs().get(id).map_or(0, |progress| progress.matched);
             if matched == 0 || matched + MAX_PROMOTION_LAG < self.raw.raft.raft_log.committed {
@@ -232,10 +237,10 @@
         } else {
             vec![VoterChange::AddLearner(id)]
         };
-        let _ = self.raw.propose_conf_change(context, conf_change(&changes)); // an error: it is tried again
+        let _ = self.raw.propose_conf_change(context, conf_change(&changes)); // an error is retried at a later tick
     }
 
-    /// Everything up to this batch is durable.
+    /// Records that all batches up to this one are durable.
     pub(super) fn durable(&mut self, batch: u64, effects: &mut Effects) {
         while self.pending.front().is_some_and(|first| first.batch <= batch) {
             let Some(pending) = self.pending.pop_front() else { break };
@@ -245,7 +250,7 @@
         self.report_applied();
     }
 
-    /// Carries out what the crate wants done.
+    /// Carries out everything that the Raft node has ready.
     pub(super) fn process_ready(&mut self, now: Duration, effects: &mut Effects) {
         while self.raw.has_ready() {
             let mut ready = self.raw.ready();
@@ -292,7 +297,8 @@
         }
     }
 
-    /// The crate is told what was applied once that is durable: the state that a leader sends is applied before.
+    /// Reports entries to the crate as applied only when they are durable: the snapshot that a leader sends becomes
+    /// the state before it is persisted.
     fn report_applied(&mut self) {
         let log = &self.raw.raft.raft_log;
         if self.applied > log.applied && self.applied <= log.persisted {
@@ -318,7 +324,7 @@
                 }
             }
             Payload::ChangeVoters(changes, context) => {
-                let _ = self.raw.apply_conf_change(&conf_change(&changes)); // an error: no voter would be left
+                let _ = self.raw.apply_conf_change(&conf_change(&changes)); // an error means that no voter would be left
                 self.state.apply_voter_changes(&changes, &context);
             }
         }
@@ -327,7 +333,7 @@
     fn snapshot(&self) -> Snapshot {
         let index = self.applied;
         let term = raft::Storage::term(self.raw.store(), index).unwrap_or_default();
-        let state = postcard::to_stdvec(&self.state).unwrap_or_default(); // writing to memory does not fail
+        let state = postcard::to_stdvec(&self.state).unwrap_or_default(); // serializing to memory does not fail
         Snapshot { index, term, voters: self.config(), state }
     }
 }
