--- a/src/fleet/log/wire.rs
+++ b/src/fleet/log/wire.rs
@@ -1,6 +1,7 @@
-//! The messages of the voters in a form of our own: the crate's are protobuf, whose old parser must never see bytes from
-//! outside. What is torn, of another cluster or of a later build is told apart before anything of it is read. A
-//! frame is a record (`state/record.rs`) of a [`Message`] whose place is the cluster's name.
+//! The project's own encoding of the voters' messages. The crate's encoding is protobuf, whose outdated parser must
+//! never see bytes from outside. A frame that is corrupt, of another cluster or of a newer build is recognized before
+//! any of its content is decoded. A frame is a record (`state/record.rs`) of a [`Message`] whose place is the
+//! cluster's name.
 
 use super::founding::Founding;
 use crate::state::record::{self, RecordFault};
@@ -9,84 +10,84 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The longest frame, in bytes. A snapshot is the longest message.
+/// Longest frame, in bytes. The longest message is the one with a snapshot.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
-/// Why a frame was dropped.
+/// Reason for dropping a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
-    /// Cut short, changed on its way, or of another cluster.
-    #[error("torn, or of another cluster")]
+    /// Truncated, altered in transit, or of another cluster.
+    #[error("corrupt, or of another cluster")]
     Corrupt,
-    /// From a build with a later form.
-    #[error("of a later form")]
+    /// Written by a newer build in a later format.
+    #[error("written by a newer build")]
     Newer,
-    /// Whole, but it says nothing that it could.
+    /// The checksum is right, but the content can't be decoded.
     #[error("senseless")]
     Malformed,
 }
 
-/// What one process of a fleet says to another about the log.
+/// A message about the log from one process of a fleet to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Before there is a log: who would found it, and what each has promised.
+    /// Founding of a log: which process takes part and what it has promised.
     Founding(Founding),
-    /// Between voters of one founding.
+    /// A Raft message between voters of one log.
     #[serde(rename = "Vote")]
     Raft {
-        /// Which founding: votes of another are not heard.
+        /// Id of the log; messages of another log are ignored.
         #[serde(rename = "history")]
         log_id: u64,
-        /// The name of who speaks: one that learns knows nobody yet.
+        /// Name of the sender: a new learner does not know any names yet.
         #[serde(rename = "by")]
         sender: String,
-        /// What is said.
+        /// The message.
         #[serde(rename = "says")]
         message: RaftMessage,
     },
-    /// An order on its way to the leader.
+    /// A command on its way to the leader.
     #[serde(rename = "Order")]
     Command {
-        /// What is to be done.
+        /// The command.
         #[serde(rename = "order")]
         command: super::Command,
-        /// A voter has passed it on: it goes no further than the next one.
+        /// A voter has forwarded it already; it is forwarded only once.
         #[serde(rename = "passed")]
         forwarded: bool,
     },
-    /// A process that is no voter asks for what was agreed after an index.
+    /// A process that is not a voter asks for the committed entries after an index.
     #[serde(rename = "Follow")]
     Fetch {
-        /// The name of who asks.
+        /// Name of the process that asks.
         from: String,
-        /// Which founding it knows; 0 for none yet.
+        /// Id of the log that it follows; 0 for none yet.
         #[serde(rename = "history")]
         log_id: u64,
-        /// The last index that it has.
+        /// Index of the last entry that it has.
         after: u64,
     },
-    /// The answer: what was agreed, from the state at an index where the log does not go back so far.
+    /// Answer to a fetch: committed entries, preceded by a snapshot where the log no longer holds them.
     #[serde(rename = "Agreed")]
     Committed {
-        /// Of which founding.
+        /// Id of the log.
         #[serde(rename = "history")]
         log_id: u64,
-        /// The state up to an index, where the asker's is too old.
+        /// Snapshot, if the process is too far behind for the retained entries.
         snapshot: Option<Box<Snapshot>>,
-        /// What follows, in order.
+        /// The entries that follow, in order.
         entries: Vec<Entry>,
     },
-    /// A process asks to take the place of the voter of its name, whose memory it has lost.
+    /// A process asks to replace the voter of its name, whose state it has lost.
     #[serde(rename = "Succeed")]
     ReplaceVoter {
-        /// The name that both have.
+        /// The name of both.
         name: String,
-        /// The number of the one that asks.
+        /// Id of the process that asks.
         id: u64,
     },
 }
 
-/// What a voter says to another, as the crate means it.
+/// A Raft message, with the meaning that the crate gives its fields.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RaftMessage {
     kind: u8,
@@ -109,77 +110,77 @@
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The term in which it was proposed.
+    /// Term in which it was proposed.
     pub term: u64,
-    /// Its place, from 1.
+    /// Index in the log, from 1.
     pub index: u64,
-    /// What it says.
+    /// Content.
     #[serde(rename = "says")]
     pub payload: Payload,
 }
 
-/// What an entry says.
+/// Content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: a leader begins its term so.
+    /// Empty: a leader appends one at the beginning of its term.
     #[serde(rename = "Nothing")]
     Empty,
-    /// An order, encoded.
+    /// An encoded command.
     #[serde(rename = "Order")]
     Command(Vec<u8>),
-    /// Who votes, changed; none to leave the joint rule of two sets.
+    /// A change of the voters, with its context; no changes to leave joint consensus.
     #[serde(rename = "Voters")]
     ChangeVoters(Vec<VoterChange>, Vec<u8>),
 }
 
-/// A step of a change of voters.
+/// One change of the set of voters and learners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VoterChange {
-    /// It votes.
+    /// Make this process a voter.
     #[serde(rename = "Votes")]
     AddVoter(u64),
-    /// It learns, and does not vote.
+    /// Make this process a learner, which does not vote.
     #[serde(rename = "Learns")]
     AddLearner(u64),
-    /// It is no part of it any more.
+    /// Remove this process.
     #[serde(rename = "Leaves")]
     Remove(u64),
 }
 
-/// Who votes.
+/// The voters and learners.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterConfig {
-    /// Their numbers.
+    /// Ids of the voters.
     pub voters: Vec<u64>,
-    /// Those that learn.
+    /// Ids of the learners.
     pub learners: Vec<u64>,
-    /// While a change is under way, those that voted before it.
+    /// During a joint change, the ids of the voters before it.
     pub outgoing: Vec<u64>,
-    /// Those among them that learn once it is over.
+    /// Those of them that become learners after the change.
     pub learners_next: Vec<u64>,
-    /// The change ends by itself.
+    /// The joint change is left automatically.
     pub auto_leave: bool,
 }
 
-/// The agreed state up to an index.
+/// The replicated state up to an index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last index in it.
+    /// Index of the last entry that it includes.
     pub index: u64,
-    /// That entry's term.
+    /// Term of that entry.
     pub term: u64,
-    /// Who voted then.
+    /// Voters and learners at that index.
     pub voters: VoterConfig,
-    /// The state.
+    /// The encoded state.
     pub state: Vec<u8>,
 }
 
-/// Seals a message for others of this cluster.
+/// Encodes a message as a frame for this cluster.
 pub fn encode(cluster: &str, message: &Message) -> Vec<u8> {
-    record::seal(cluster, message).unwrap_or_default() // writing to memory does not fail
+    record::seal(cluster, message).unwrap_or_default() // serializing to memory does not fail
 }
 
-/// Opens a frame as it came.
+/// Checks and decodes a received frame.
 pub fn decode(cluster: &str, frame: &[u8]) -> Result<Message, FrameError> {
     record::open(cluster, frame).map_err(|fault| match fault {
         RecordFault::Damaged(_) => FrameError::Corrupt,
@@ -189,7 +190,7 @@
 }
 
 impl RaftMessage {
-    /// From the crate's form; none for what is said inside a process only, or can't be told.
+    /// Converts from the crate's type; none for a message that is local to a process or has an unknown entry.
     pub(super) fn from_raft(mut message: eraftpb::Message) -> Option<Self> {
         let kind = MESSAGE_TYPES.iter().position(|known| *known == message.get_msg_type())? as u8;
         let snapshot = message.has_snapshot() && message.get_snapshot().get_metadata().index > 0;
@@ -235,7 +236,7 @@
     }
 }
 
-/// What voters say to each other, by its place here on the wire. Anything else is local to a process.
+/// Message types that are exchanged between voters, by their number on the wire. All others are local to a process.
 const MESSAGE_TYPES: [eraftpb::MessageType; 10] = {
     use eraftpb::MessageType::*;
     [
@@ -253,14 +254,15 @@
 };
 
 impl Entry {
-    /// From the crate's form; none where it is none of ours.
+    /// Converts from the crate's type; none for the old kind of configuration change, which this project does not
+    /// write.
     pub(super) fn from_raft(entry: eraftpb::Entry) -> Option<Self> {
         let (term, index) = (entry.term, entry.index);
         let payload = match entry.get_entry_type() {
             EntryType::EntryNormal if entry.data.is_empty() => Payload::Empty,
             EntryType::EntryNormal => Payload::Command(entry.data.to_vec()),
             EntryType::EntryConfChangeV2 => {
-                // Made by this process a moment ago: the crate keeps it in its own form.
+                // Safe to parse: this process encoded it itself, as the crate keeps changes in its own encoding.
                 let change = <ConfChangeV2 as protobuf::Message>::parse_from_bytes(&entry.data).ok()?;
                 let changes = change.changes.iter().map(|change| match change.get_change_type() {
                     ConfChangeType::AddNode => VoterChange::AddVoter(change.node_id),
@@ -282,7 +284,7 @@
             Payload::ChangeVoters(changes, context) => {
                 entry.set_entry_type(EntryType::EntryConfChangeV2);
                 let change = conf_change(&changes);
-                // Writing to memory does not fail.
+                // Serializing to memory does not fail.
                 entry.data = protobuf::Message::write_to_bytes(&change).unwrap_or_default().into();
                 entry.context = context.into();
             }
@@ -291,7 +293,8 @@
     }
 }
 
-/// A change of voters in the crate's form. Of more than one step it passes through both sets, each with a majority.
+/// Voter changes in the crate's form. More than one change passes through joint consensus, with a majority in both the
+/// old and the new set.
 pub(super) fn conf_change(changes: &[VoterChange]) -> ConfChangeV2 {
     let mut change = ConfChangeV2::default();
     change.set_transition(ConfChangeTransition::Auto);
@@ -331,7 +334,7 @@
         state
     }
 
-    /// Follows a change that was agreed, as far as one that does not vote has to know of it.
+    /// Applies a committed change, to the extent that a follower without a vote has to know it.
     pub(super) fn apply(&mut self, changes: &[VoterChange]) {
         for change in changes {
             let (VoterChange::AddVoter(id) | VoterChange::AddLearner(id) | VoterChange::Remove(id)) =
@@ -347,13 +350,13 @@
         }
     }
 
-    /// Whether this one has a part: it votes, or learns.
+    /// Whether this process is a voter or a learner, now or after the change.
     pub(super) fn contains(&self, id: u64) -> bool {
         let sets = [&self.voters, &self.learners, &self.outgoing, &self.learners_next];
         sets.iter().any(|set| set.contains(&id))
     }
 
-    /// Whether this one votes, now or while a change is under way.
+    /// Whether this process votes, now or while a joint change is in progress.
     pub fn is_voter(&self, id: u64) -> bool {
         self.voters.contains(&id) || self.outgoing.contains(&id)
     }
