--- a/src/fleet/log/storage.rs
+++ b/src/fleet/log/storage.rs
@@ -1,5 +1,5 @@
-//! What a voter keeps, as the crate reads it: the log as it was written or is being written, and the state that it goes
-//! back to. Every change of it is at once a change for the disk.
+//! The log as a voter persists it, in the form that the crate reads: a snapshot, and the entries after it that are
+//! written or being written. Every change of it is also returned as a change for the disk.
 
 use super::wire::{Entry, Payload, Snapshot};
 use crate::state::memory::{self, Change, Memory, Promise};
@@ -9,24 +9,24 @@
 use std::collections::VecDeque;
 use thiserror::Error;
 
-/// Why what is remembered can't be used.
+/// Reason why the persisted log can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum LoadError {
-    /// The state at the log's beginning is of no form that this build knows.
-    #[error("the agreed state up to {0} is of no known form")]
+    /// The snapshot has a format that this build does not know.
+    #[error("the log's snapshot at index {0} has an unknown format")]
     Snapshot(u64),
-    /// An entry is.
-    #[error("entry {0} of the log is of no known form")]
+    /// An entry has a format that this build does not know.
+    #[error("entry {0} of the log has an unknown format")]
     Entry(u64),
 }
 
-/// The log behind a snapshot, and what was promised.
+/// A snapshot, the entries after it, and the Raft promise (term, vote and commit index).
 #[derive(Debug, Default)]
 pub(super) struct LogStorage {
     promise: Promise,
     snapshot: Snapshot,
     entries: VecDeque<Entry>,
-    /// The crate wants a later snapshot, or one in which the asker has a part.
+    /// The crate has asked for a later snapshot, or for one whose configuration includes the receiver.
     snapshot_requested: Cell<bool>,
 }
 
@@ -54,7 +54,7 @@
         self.snapshot.index + self.entries.len() as u64
     }
 
-    /// What was agreed after an index and up to another, as far as the bytes go; none where it does not go back so far.
+    /// Entries after one index and up to another, as many as fit the limit; none if the log no longer holds the first.
     pub(super) fn entries_between(&self, after: u64, to: u64, max_bytes: usize) -> Option<Vec<Entry>> {
         let skipped = after.checked_sub(self.snapshot.index)? as usize;
         let mut remaining = max_bytes;
@@ -72,7 +72,7 @@
         Some(entries.cloned().collect())
     }
 
-    /// Takes what the crate wants kept; the same for the disk.
+    /// Stores what the crate wants persisted, and returns the changes for the disk.
     pub(super) fn store(
         &mut self,
         snapshot: Option<Snapshot>,
@@ -82,7 +82,7 @@
         let mut changes = Vec::new();
         if let Some(snapshot) = snapshot {
             changes.push(snapshot_change(&snapshot));
-            // What was here beyond it was never agreed.
+            // Entries after the snapshot were never committed.
             changes.push(Change::Log { first: snapshot.index + 1, entries: Vec::new() });
             self.entries.clear();
             self.snapshot = snapshot;
@@ -91,7 +91,7 @@
             self.entries.truncate((first - self.snapshot.index - 1) as usize);
             let stored = entries.iter().map(|entry| memory::Entry {
                 term: entry.term,
-                bytes: postcard::to_stdvec(&entry.payload).unwrap_or_default(), // writing to memory does not fail
+                bytes: postcard::to_stdvec(&entry.payload).unwrap_or_default(), // serializing to memory does not fail
             });
             changes.push(Change::Log { first, entries: stored.collect() });
             self.entries.extend(entries);
@@ -103,7 +103,7 @@
         changes
     }
 
-    /// The agreed state up to an index that is here: what comes before is no longer needed.
+    /// Replaces the entries up to the index of this snapshot by it. The index must be in the log.
     pub(super) fn compact(&mut self, snapshot: Snapshot) -> Change {
         self.entries.drain(..((snapshot.index - self.snapshot.index) as usize).min(self.entries.len()));
         self.snapshot = snapshot;
@@ -121,7 +121,7 @@
 }
 
 fn snapshot_change(snapshot: &Snapshot) -> Change {
-    let bytes = postcard::to_stdvec(snapshot).unwrap_or_default(); // as above
+    let bytes = postcard::to_stdvec(snapshot).unwrap_or_default(); // cannot fail
     Change::Snapshot(memory::Snapshot { index: snapshot.index, term: snapshot.term, bytes })
 }
 
