--- a/src/fleet/log/replicated_state.rs
+++ b/src/fleet/log/replicated_state.rs
@@ -1,94 +1,95 @@
-//! The agreed state: cells that are changed by orders, each applied once however often it comes, in one order for all.
+//! The replicated state: a key-value map that is changed by commands. Each command is applied once, however often it
+//! is sent, and in the same order in all processes.
 
 use super::wire::VoterChange;
 use crate::fleet::sequence_window::{SequenceWindow, WINDOW};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Cells there may be.
+/// Limit on the number of keys.
 pub const MAX_KEYS: usize = 10_000;
-/// Bytes of all cells together: the whole state goes to others in one frame.
+/// Limit on the bytes of all keys and values together: a snapshot has to fit in one frame.
 pub const MAX_STATE_BYTES: usize = 8 << 20;
-/// Bytes of a cell's name and content together.
+/// Limit on the bytes of one key and its value together.
 pub const MAX_KEY_VALUE_BYTES: usize = 64 << 10;
-/// Clients that are remembered: beyond them the one that has ordered nothing for longest is forgotten.
+/// Clients that are remembered; beyond this limit, the one without a command for the longest time is forgotten.
 const MAX_CLIENTS: usize = 4096;
 
-/// What is to be changed.
+/// A write to one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Put {
-    /// The cell's name.
+    /// The key.
     #[serde(rename = "cell")]
     pub key: String,
-    /// What it is to hold; none to remove it.
+    /// The new value; none removes the key.
     pub bytes: Option<Vec<u8>>,
-    /// Only if its last change was at this index, 0 for a cell that is not there; none for in any case.
+    /// Condition: the index of the last change, 0 for a missing key. None writes unconditionally.
     pub expected: Option<u64>,
 }
 
-/// An order: it is carried out once, however often it is sent.
+/// A command of a client: applied once, however often it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// Who orders: drawn at each start of a process.
+    /// Client id, drawn at each start of a process.
     pub client: u128,
-    /// The orders of a client are numbered from 1.
+    /// Number of the command, from 1 for each client.
     pub number: u64,
-    /// What is to be changed.
+    /// The requested change.
     pub put: Put,
 }
 
-/// What became of an order.
+/// Result of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It is carried out, at this index.
+    /// Applied, at this index.
     Done(u64),
-    /// The cell was last changed at this index, not as expected; nothing was changed.
+    /// Condition failed: the key was last changed at this index. Nothing was changed.
     Changed(u64),
-    /// There are too many cells, or it is too large; nothing was changed.
+    /// There are too many keys, or the value or the whole state is too large. Nothing was changed.
     TooMuch,
 }
 
-/// A cell.
+/// A stored value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Value {
-    /// The index of its last change.
+    /// Index of its last change.
     pub index: u64,
-    /// What it holds.
+    /// Content.
     pub bytes: Vec<u8>,
 }
 
-/// What was carried out for a client.
+/// The commands that were applied for one client.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Client {
     seen: SequenceWindow,
-    /// The index of its last order.
+    /// Index of its last command.
     #[serde(rename = "at")]
     last_index: u64,
-    /// What became of its latest, by number: for those that hear of it by a snapshot only.
+    /// Outcomes of its latest commands by number, for processes that learn of them only from a snapshot.
     outcomes: BTreeMap<u64, Outcome>,
 }
 
-/// Everything that is agreed.
+/// The whole replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// The names of those with a part in the vote, by number.
+    /// Names of the voters and learners, by id.
     pub names: BTreeMap<u64, String>,
     #[serde(rename = "cells")]
     values: BTreeMap<String, Value>,
-    /// Bytes of all cells.
+    /// Total bytes of keys and values.
     size: usize,
     clients: BTreeMap<u128, Client>,
 }
 
 impl ReplicatedState {
-    /// The state at a founding.
+    /// The state at the beginning of a log.
     pub(super) fn founded(members: &BTreeMap<String, u64>) -> Self {
         let names = members.iter().map(|(name, id)| (*id, name.clone())).collect();
         ReplicatedState { names, ..ReplicatedState::default() }
     }
 
-    /// Who votes or learns has changed: what the one that it is about is called, and who has left. By the entry alone, as
-    /// those that follow know nothing else of it.
+    /// Applies a change of voters or learners: adds the name of the new one and removes those that left. It uses only
+    /// the entry itself, because followers know nothing else of the change.
     pub(super) fn apply_voter_changes(&mut self, changes: &[VoterChange], context: &[u8]) {
         if let Ok((id, name)) = postcard::from_bytes::<(u64, String)>(context) {
             self.names.insert(id, name);
@@ -100,23 +101,23 @@
         }
     }
 
-    /// What a cell holds, and since when.
+    /// The value of a key, with the index of its last change.
     pub fn get(&self, key: &str) -> Option<&Value> {
         self.values.get(key)
     }
 
-    /// All cells whose names begin so, by name.
+    /// All keys with this prefix, in order.
     pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, &'a Value)> {
         let from = self.values.range(prefix.to_owned()..);
         from.take_while(move |(key, _)| key.starts_with(prefix)).map(|(key, value)| (key.as_str(), value))
     }
 
-    /// What became of a client's order, where it is still known.
+    /// The outcome of a client's command, if it is still remembered.
     pub fn outcome(&self, client: u128, number: u64) -> Option<Outcome> {
         self.clients.get(&client)?.outcomes.get(&number).copied()
     }
 
-    /// Carries out an order; none where it has been before, or is too old to tell.
+    /// Applies a command. Returns none if it was applied before, or is too old to tell.
     pub(super) fn apply(&mut self, index: u64, command: Command) -> Option<Outcome> {
         let Command { client, number, put } = command;
         if !self.is_new(index, client, number) {
@@ -133,7 +134,8 @@
     }
 
     fn is_new(&mut self, index: u64, id: u128, number: u64) -> bool {
-        // Of a client that is not known only its first ones: the others may have been carried out before it was forgotten.
+        // Of an unknown client only the first commands are accepted: later ones may have been applied before the
+        // client was forgotten.
         if number == 0 || !self.clients.contains_key(&id) && number > WINDOW {
             return false;
         }
