--- a/src/fleet/log/founding.rs
+++ b/src/fleet/log/founding.rs
@@ -1,63 +1,65 @@
-//! How a log begins, once: all named voters, each with an empty memory, promise the same members.
+//! Founding (bootstrap) of a log, which happens once: all named voters, each with empty state, promise the same set of
+//! members.
 //!
-//! A voter that has lost its memory must not found anew, nor vote as the one it was. So a voter's number is drawn with its
-//! folder, and a founding takes every named voter: each promises one set of members, ever, and it is founded once all have
-//! promised that set. Whoever finds that there is a founding without its number asks to be let in instead.
+//! A voter that has lost its state must not found a second log, nor vote under its old identity. Therefore a voter's
+//! id is drawn with its state folder, and a founding needs every named voter: each promises one set of members in its
+//! lifetime, and the log is founded once all have promised the same set. A process that finds a log whose members do
+//! not include its id asks to replace the voter of its name instead.
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// The numbers of the named voters, by name.
+/// Ids of the named voters, by name.
 pub type Members = BTreeMap<String, u64>;
 
-/// What a process says while there is no log, or to one that knows of none.
+/// Message of a process that has no log yet, or an answer to such a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Founding {
-    /// Who says so.
+    /// Name of the sender.
     pub from: String,
-    /// Its number.
+    /// Id of the sender.
     pub id: u64,
-    /// How far it is.
+    /// Stage that the sender has reached.
     pub stage: Stage,
 }
 
-/// How far a founding is, as one process knows it.
+/// Stage of a founding, as one process knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stage {
-    /// It has promised nothing.
+    /// Nothing has been promised.
     Open,
-    /// It has promised to found with these, and no others ever.
+    /// The sender has promised to found the log with these members and never with others.
     Promised(Members),
-    /// There is a log, founded with these.
+    /// The log exists and was founded with these members.
     Founded(Members),
 }
 
-/// What comes of what was heard.
+/// Next step after a received message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Transition {
-    /// This is to be promised, as soon as it is durable.
+    /// Promise these members; the promise counts once it is durable.
     Promise(Members),
-    /// All have promised: there is a log.
+    /// All voters have promised: the log can be created.
     Found(Members),
-    /// There is a log, and this process has no part in its vote.
+    /// A log exists in which this process is not a voter.
     Follow(Members),
 }
 
-/// Why there can be no founding as things are.
+/// Reason why no log can be founded at present.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FoundingConflict {
-    /// This process is configured with other voters than that one.
+    /// The named process is configured with a different set of voters.
     #[error("{0} has other fleet.voters than this process: no log begins until they are alike")]
     OtherVoters(String),
-    /// What that one has promised holds another number for a name: somebody lost its memory in between.
+    /// The named process has promised another id for some voter: one of them lost its state in between.
     #[error(
         "{0} lost its memory while the log was founded, or promised it to one that did: start all voters on new folders"
     )]
     OtherMembers(String),
 }
 
-/// A process before there is a log.
+/// State of a process before a log exists.
 #[derive(Debug)]
 pub(super) struct Founder {
     name: String,
@@ -72,21 +74,22 @@
         Founder { name: name.to_owned(), id, voters, promised, received: BTreeMap::new() }
     }
 
-    /// What it says of itself.
+    /// The message that this process sends to the others.
     pub(super) fn message(&self) -> Founding {
         let stage = self.promised.clone().map_or(Stage::Open, Stage::Promised);
         Founding { from: self.name.clone(), id: self.id, stage }
     }
 
-    /// Its promise is durable.
+    /// Records that the promise is durable.
     pub(super) fn set_promised(&mut self, members: Members) {
         self.promised = Some(members);
     }
 
-    /// Takes what another says, and what follows from all that was heard.
+    /// Handles a message of another process, and returns the step that follows from all messages so far.
     pub(super) fn receive(&mut self, founding: Founding) -> Option<Transition> {
         if let Stage::Founded(members) = founding.stage {
-            // A number that has a part in it without a promise here: that promise was forgotten, and so may votes be.
+            // A listed id without a promise here means that the promise was forgotten, and votes may have been
+            // forgotten, too.
             let own = self.promised.as_ref() == Some(&members) && members.get(&self.name) == Some(&self.id);
             return Some(if own { Transition::Found(members) } else { Transition::Follow(members) });
         }
@@ -96,7 +99,7 @@
         self.next_transition()
     }
 
-    /// Why it does not go on, where that can be told.
+    /// Why the founding does not proceed, where that is known.
     pub(super) fn founding_conflict(&self) -> Option<FoundingConflict> {
         let own = self.promised.as_ref()?;
         self.received.values().find_map(|other| match &other.stage {
@@ -126,9 +129,9 @@
     }
 }
 
-/// The name of a log: two foundings have different ones.
+/// Id of the log founded with these members; different foundings have different ids.
 pub fn log_id(members: &Members) -> u64 {
-    let encoded = postcard::to_stdvec(members).unwrap_or_default(); // writing to memory does not fail
+    let encoded = postcard::to_stdvec(members).unwrap_or_default(); // serializing to memory does not fail
     let (low, high) = (crc32fast::hash(&encoded), crc32fast::hash(&[&encoded[..], b"history"].concat()));
     (u64::from(high) << 32 | u64::from(low)).max(1)
 }
