--- a/src/fleet/log/status.rs
+++ b/src/fleet/log/status.rs
@@ -1,49 +1,50 @@
-//! What a process says of the log.
+//! Status of the log, as one process reports it.
 
 use super::founding::FoundingConflict;
 
-/// What part a process has.
+/// Role of a process in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// There is no log yet.
+    /// No log exists yet.
     Founding,
-    /// It votes.
+    /// Votes.
     Voter,
-    /// It votes, and leads.
+    /// Votes and leads.
     Leader,
-    /// It is to vote, and catches up.
+    /// Catches up with the log in order to become a voter.
     Learner,
-    /// It follows what is agreed.
+    /// Follows the committed entries without being a voter.
     Follower,
 }
 
-/// How things are.
+/// Status of the log in one process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// This process's part.
+    /// Role of this process.
     pub role: Role,
-    /// The log's name; 0 where there is none yet.
+    /// Id of the log; 0 before it exists.
     pub log_id: u64,
-    /// The leader, where one is known.
+    /// Name of the leader, if known.
     pub leader: Option<String>,
-    /// The term; 0 for one that follows.
+    /// Current term; 0 for a follower.
     pub term: u64,
-    /// All up to this index is agreed and carried out here.
+    /// Index of the last entry applied here.
     pub applied: u64,
-    /// Who votes.
+    /// Names of the voters.
     pub voters: Vec<String>,
-    /// Who learns, to vote once it has caught up.
+    /// Names of the learners, which become voters once they have caught up.
     pub learners: Vec<String>,
-    /// Who votes is being changed: until that is over, a majority of those before is needed too.
+    /// A change of the voters is in progress: until it ends, a majority of the previous voters is needed, too.
     pub reconfiguring: bool,
-    /// Names of voters whose processes have come back without their memory, and wait to be let in.
+    /// Names of voters that have restarted without their state and wait to be replaced.
     pub lost_state: Vec<String>,
-    /// Why there is no founding, where that can be told.
+    /// Why no log can be founded, if known.
     pub founding_conflict: Option<FoundingConflict>,
-    /// Orders of this process that wait.
+    /// Commands of this process that are pending.
     pub pending_commands: usize,
-    /// Frames that were dropped: torn or foreign, later, senseless.
+    /// Dropped frames: corrupt or of another cluster, of a newer build, malformed.
     pub dropped_frames: [u64; 3],
-    /// Nothing is kept any more: this process votes no longer, until it starts again.
+    /// Nothing can be persisted any more, or the state folder is outdated: this process takes no part until it
+    /// restarts.
     pub stopped: bool,
 }
