--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -253,7 +253,7 @@
         }
         let (ejections, order_uid) = (self.ejections.clone(), uid.to_owned());
         // A slow disk must not delay requests.
-        match spawn_blocking(move || ejections.keep(&order_uid, order)).await {
+        match spawn_blocking(move || ejections.persist(&order_uid, order)).await {
             Ok(Ok(updated)) => {
                 self.apply(updated).await;
                 text(StatusCode::OK, if order == Order::Suspend { "suspended\n" } else { "in use\n" })
--- a/src/net/manual_ejections/tests.rs
+++ b/src/net/manual_ejections/tests.rs
@@ -1,26 +1,29 @@
-//! Tests of what only this module can see.
+//! Unit tests of internals.
 
 use super::*;
 
 #[test]
 fn returns_keep_their_order_though_the_wall_clock_was_ahead_and_the_latest_are_remembered() {
     let folder = tempfile::tempdir().unwrap();
-    let ejections = ManualEjectionStore::new(folder.path(), "n/0");
-    // Written while the clock was an hour ahead; it has been put back since.
+    let store = ManualEjectionStore::new(folder.path(), "n/0");
+    // Written while the wall clock was an hour ahead; it has been set back since.
     let ahead = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64 + 3_600_000;
     let before =
         ManualEjections { suspended: ["a".to_owned()].into(), resumed: [("b".to_owned(), ahead)].into() };
-    fs::write(&ejections.file, serde_json::to_vec(&before).unwrap()).unwrap();
-    // What a kill left half written is no hindrance.
-    fs::write(&ejections.new, "{\"suspen").unwrap();
-    let standing = ejections.keep("a", Order::Resume).unwrap();
-    assert_eq!(standing.resumed["b"], ahead, "a return is not forgotten as the clock steps");
-    assert!(standing.resumed["a"] > ahead, "{standing:?}");
-    for number in 0..RETURNS_KEPT {
-        ejections.keep(&format!("e{number}"), Order::Suspend).unwrap();
-        ejections.keep(&format!("e{number}"), Order::Resume).unwrap();
+    fs::write(&store.file, serde_json::to_vec(&before).unwrap()).unwrap();
+    // A file left half written by a killed process is overwritten.
+    fs::write(&store.new, "{\"suspen").unwrap();
+    let ejections = store.persist("a", Order::Resume).unwrap();
+    assert_eq!(ejections.resumed["b"], ahead, "a resumed endpoint is not dropped when the clock steps");
+    assert!(ejections.resumed["a"] > ahead, "{ejections:?}");
+    for number in 0..MAX_RESUMED {
+        store.persist(&format!("e{number}"), Order::Suspend).unwrap();
+        store.persist(&format!("e{number}"), Order::Resume).unwrap();
     }
-    let standing = ejections.read().unwrap();
-    assert_eq!(standing.resumed.len(), RETURNS_KEPT);
-    assert!(!standing.resumed.contains_key("b") && !standing.resumed.contains_key("a"), "the oldest go");
+    let ejections = store.read().unwrap();
+    assert_eq!(ejections.resumed.len(), MAX_RESUMED);
+    assert!(
+        !ejections.resumed.contains_key("b") && !ejections.resumed.contains_key("a"),
+        "the oldest are dropped"
+    );
 }
