--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -1,4 +1,5 @@
-//! Which processes of this sidecar live: during an upgrade there are two, and together they are one.
+//! Detects other running processes of this sidecar. During a hot restart the predecessor and the successor
+//! run side by side and share one sidecar's limits.
 
 use super::manual_ejections::file_name_part;
 use std::cell::RefCell;
@@ -7,54 +8,56 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// A process's mark in the directory that all processes of a sidecar share: a file that it holds locked
-/// for as long as it lives, however it ends.
+/// The registration of a process in the directory that all processes of a sidecar share: a file that the
+/// process keeps locked. The lock is released however the process ends.
 pub struct ProcessRegistration {
     directory: PathBuf,
     stem: String,
     own: PathBuf,
-    _held: File,
-    /// Marks of others that were seen to live at the last look that told.
-    living: RefCell<HashSet<PathBuf>>,
+    _lock: File,
+    /// Lock files of the other processes that were alive at the last conclusive check.
+    alive: RefCell<HashSet<PathBuf>>,
 }
 
 impl ProcessRegistration {
-    /// Makes this process known to the others of the sidecar of this name.
+    /// Registers this process for the other processes of the named sidecar.
     pub fn register(directory: &Path, name: &str) -> io::Result<Self> {
         let stem = format!("process-{}-", file_name_part(name));
         let process = std::process::id();
-        // Locked before it has its name: under it an unlocked file is taken for a dead process's.
+        // Locked before the rename: under its final name an unlocked file counts as that of a dead process.
         let new = directory.join(format!("new-{stem}{process}"));
-        let held = File::create(&new)?;
-        held.lock()?;
+        let lock = File::create(&new)?;
+        lock.lock()?;
         let own = directory.join(format!("{stem}{process}"));
         fs::rename(&new, &own)?;
-        let living = RefCell::default();
-        Ok(ProcessRegistration { directory: directory.to_owned(), stem, own, _held: held, living })
+        let alive = RefCell::default();
+        Ok(ProcessRegistration { directory: directory.to_owned(), stem, own, _lock: lock, alive })
     }
 
-    /// How many other processes live. Removes what dead ones have left. A look that fails says nothing of whom it was
-    /// at, as where descriptors lack: then what was seen last stands.
+    /// The number of other live processes. Removes the files of dead ones. A check that fails, such as for
+    /// lack of descriptors, is inconclusive: the previous result stands for the processes that it concerns.
     pub fn count_others(&self) -> usize {
-        if let Ok(marks) = self.marks() {
-            let before = self.living.take();
-            let alive = marks.into_iter().filter(|mark| lives(mark).unwrap_or(before.contains(mark)));
-            self.living.replace(alive.collect());
+        if let Ok(lock_files) = self.lock_files() {
+            let known_alive = self.alive.take();
+            let now_alive = lock_files
+                .into_iter()
+                .filter(|lock_file| is_alive(lock_file).unwrap_or(known_alive.contains(lock_file)));
+            self.alive.replace(now_alive.collect());
         }
-        self.living.borrow().len()
+        self.alive.borrow().len()
     }
 
-    /// The marks of all other processes, living or dead.
-    fn marks(&self) -> io::Result<Vec<PathBuf>> {
-        let mut marks = Vec::new();
+    /// The lock files of all other processes, alive or dead.
+    fn lock_files(&self) -> io::Result<Vec<PathBuf>> {
+        let mut lock_files = Vec::new();
         for entry in fs::read_dir(&self.directory)? {
             let path = entry?.path();
             let name = path.file_name().and_then(|name| name.to_str());
             if name.is_some_and(|name| name.starts_with(&self.stem)) && path != self.own {
-                marks.push(path);
+                lock_files.push(path);
             }
         }
-        Ok(marks)
+        Ok(lock_files)
     }
 }
 
@@ -64,9 +67,9 @@
     }
 }
 
-/// Whether the process of this mark lives; its mark goes with a dead one.
-fn lives(mark: &Path) -> io::Result<bool> {
-    let file = match File::open(mark) {
+/// Whether the process that owns a lock file is alive; removes the file if it is dead.
+fn is_alive(lock_file: &Path) -> io::Result<bool> {
+    let file = match File::open(lock_file) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(false),
         opened => opened?,
     };
@@ -74,7 +77,7 @@
         Err(TryLockError::WouldBlock) => Ok(true),
         Err(TryLockError::Error(e)) => Err(e),
         Ok(()) => {
-            let _ = fs::remove_file(mark);
+            let _ = fs::remove_file(lock_file);
             Ok(false)
         }
     }
