--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -129,7 +129,7 @@
             let (persistence, statements) =
                 Persistence::open(folder, &name, has_voters.then_some(disk_events))
                     .map_err(|e| format!("state: {e}"))?;
-            spawn_local(persistence.clone().follow(statements));
+            spawn_local(persistence.clone().run(statements));
             Some(persistence)
         }
         None => None,
@@ -150,10 +150,11 @@
         spawn_local(async move {
             // An incarnation is not announced before it is durable.
             let start = match &persistence {
-                Some(persistence) => persistence.start(DISK_WAIT).await,
+                Some(persistence) => persistence.wait_for_incarnation(DISK_WAIT).await,
                 None => None,
             };
-            let kept = persistence.zip(start).map(|(persistence, (folder, _))| persistence.joining(folder));
+            let kept =
+                persistence.zip(start).map(|(persistence, (folder, _))| persistence.join_data(folder));
             peers.join(start, kept);
         });
     }
--- a/src/net/persistence.rs
+++ b/src/net/persistence.rs
@@ -1,4 +1,5 @@
-//! What this process keeps on disk, as the serving thread sees it: told by the disk's thread, never waited for.
+//! The persisted state of this process, as seen by the serving thread, which the disk thread notifies and
+//! which never blocks on it.
 
 use crossbeam_channel::Sender;
 use gullpulley::fleet::host::{DiskSays, Joining};
@@ -20,107 +21,127 @@
 use tokio::time::timeout;
 use tracing::{error, info, warn};
 
-/// Statements of the disk that may wait for this thread; at more the disk's thread waits.
-const STATEMENTS: usize = 64;
+/// Capacity of the queue of notifications from the disk thread; the disk thread waits while it is full.
+const NOTIFICATION_CAPACITY: usize = 64;
 
-/// The folder of a process, and what is known of it.
+/// The state folder of a process, and its status.
 pub struct Persistence {
     name: String,
-    /// The log's thread writes too.
+    /// Shared with the fleet log's thread, which writes too.
     writer: Arc<Mutex<Writer>>,
-    /// What was found, until the log takes it.
-    found: RefCell<Memory>,
-    /// Who it is, and the batch that says so.
-    told: RefCell<Option<(u64, Identity)>>,
-    /// Its folder and the number of its start there, once that is durable; none there where nothing is kept.
-    start: watch::Sender<Option<Option<(u128, u64)>>>,
-    /// The incarnation that is durable; 0 before.
+    /// The state loaded from disk, until the fleet log takes it.
+    loaded: RefCell<Memory>,
+    /// This process's identity, and the number of the batch that persists it.
+    identity_batch: RefCell<Option<(u64, Identity)>>,
+    /// The folder's id and the incarnation, once that is durable; `Some(None)` if nothing can be persisted.
+    durable_start: watch::Sender<Option<Option<(u128, u64)>>>,
+    /// The durable incarnation; 0 before.
     incarnation: Cell<u64>,
     set_aside: Cell<u64>,
-    over: Cell<bool>,
-    /// The disk refuses; what is handed to it waits.
+    stopped: Cell<bool>,
+    /// Writes fail; submitted batches wait.
     failing: Cell<bool>,
 }
 
 impl Persistence {
-    /// Starts the thread of this folder; returns at once, and tells what comes of it to `follow`, and to the log.
+    /// Starts the disk thread for this folder and returns at once. Notifications go to the returned
+    /// receiver, for [`Self::run`], and to the fleet log.
     pub fn open(
         folder: PathBuf,
         name: &str,
         log: Option<Sender<DiskSays>>,
     ) -> io::Result<(Rc<Self>, Receiver<Statement>)> {
-        let (says, said) = channel(STATEMENTS);
-        let say = move |statement: Statement| {
-            let told = match &statement {
+        let (sender, statements) = channel(NOTIFICATION_CAPACITY);
+        let notify = move |statement: Statement| {
+            let event = match &statement {
                 Statement::Durable(number) => Some(DiskSays::Durable(*number)),
                 Statement::Over(_) => Some(DiskSays::Over),
                 Statement::Waiting(_) | Statement::Opened(_) | Statement::Failing(_) => None,
             };
-            // Both fail only while the process ends.
-            if let (Some(log), Some(told)) = (&log, told) {
-                let _ = log.send(told);
+            // Both sends fail only while the process ends.
+            if let (Some(log), Some(event)) = (&log, event) {
+                let _ = log.send(event);
             }
-            let _ = says.blocking_send(statement);
+            let _ = sender.blocking_send(statement);
         };
-        let writer = Arc::new(Mutex::new(Writer::start(folder, name.to_owned(), say)?));
-        let (found, told, start, incarnation, set_aside, over, failing) = Default::default();
+        let writer = Arc::new(Mutex::new(Writer::start(folder, name.to_owned(), notify)?));
+        let (loaded, identity_batch, durable_start, incarnation, set_aside, stopped, failing) =
+            Default::default();
         let name = name.to_owned();
-        let persistence =
-            Persistence { name, writer, found, told, start, incarnation, set_aside, over, failing };
-        Ok((Rc::new(persistence), said))
+        let persistence = Persistence {
+            name,
+            writer,
+            loaded,
+            identity_batch,
+            durable_start,
+            incarnation,
+            set_aside,
+            stopped,
+            failing,
+        };
+        Ok((Rc::new(persistence), statements))
     }
 
     fn writer(&self) -> MutexGuard<'_, Writer> {
         self.writer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What this process brings to the log: once, and after its start is durable.
-    pub fn joining(&self, folder: u128) -> Joining {
-        Joining { id: (folder as u64).max(1), memory: self.found.take(), writer: Some(self.writer.clone()) }
+    /// What this process joins the fleet log with. Call it once, after the incarnation is durable.
+    pub fn join_data(&self, folder: u128) -> Joining {
+        Joining {
+            id: (folder as u64).max(1),
+            memory: self.loaded.take(),
+            writer: Some(self.writer.clone()),
+        }
     }
 
-    /// Follows what the disk says.
-    pub async fn follow(self: Rc<Self>, mut said: Receiver<Statement>) {
-        while let Some(statement) = said.recv().await {
+    /// Handles notifications from the disk thread.
+    pub async fn run(self: Rc<Self>, mut statements: Receiver<Statement>) {
+        while let Some(statement) = statements.recv().await {
             match statement {
                 Statement::Waiting(why) => {
-                    info!("state: {why}; this process waits for it, and serves meanwhile")
+                    info!("state: {why}; waiting for it while requests are answered")
                 }
-                Statement::Opened(found) => self.opened(found),
+                Statement::Opened(found) => self.handle_opened(found),
                 Statement::Failing(e) => {
                     self.failing.set(true);
                     error!(
-                        "state: {e}; nothing is confirmed until the disk takes a fresh file, and serving goes on"
+                        "state: {e}; nothing is confirmed until a fresh file can be written; requests are still answered"
                     );
                 }
                 Statement::Durable(number) => {
                     if self.failing.take() {
-                        info!("state: kept again, all of it");
+                        info!("state: all of it is persisted again");
                     }
-                    if let Some((batch, Identity { folder, incarnation, .. })) = *self.told.borrow()
+                    if let Some((batch, Identity { folder, incarnation, .. })) =
+                        *self.identity_batch.borrow()
                         && number >= batch
                         && self.incarnation.replace(incarnation) != incarnation
                     {
-                        info!(incarnation, "state: start {incarnation} on this folder is kept");
-                        self.start.send_replace(Some(Some((folder, incarnation))));
+                        info!(incarnation, "state: incarnation {incarnation} on this folder is durable");
+                        self.durable_start.send_replace(Some(Some((folder, incarnation))));
                     }
                 }
                 Statement::Over(e) => {
-                    self.over.set(true);
-                    self.start.send_if_modified(|start| start.is_none() && start.replace(None).is_none());
-                    error!("state: {e}; nothing is kept from now on, and serving goes on");
+                    self.stopped.set(true);
+                    self.durable_start
+                        .send_if_modified(|start| start.is_none() && start.replace(None).is_none());
+                    error!("state: {e}; nothing is persisted from now on; requests are still answered");
                 }
             }
         }
     }
 
-    fn opened(&self, found: Found) {
+    fn handle_opened(&self, found: Found) {
         let memory = match found {
             Found::Kept(memory) => memory,
             Found::Nothing => Memory::default(),
             Found::SetAside(path, why) => {
                 self.set_aside.set(self.set_aside.get() + 1);
-                warn!("state: {why}; it is now {}, and this process begins anew", path.display());
+                warn!(
+                    "state: {why}; it was moved to {}, and this process starts with empty state",
+                    path.display()
+                );
                 Memory::default()
             }
         };
@@ -129,47 +150,47 @@
             None => Identity::drawn(&self.name),
         };
         match self.writer().submit(vec![Change::Identity(identity.clone())]) {
-            Ok(batch) => drop(self.told.replace(Some((batch, identity)))),
+            Ok(batch) => drop(self.identity_batch.replace(Some((batch, identity)))),
             Err(Refused::Full | Refused::Over) => {
-                warn!("state: this start could not be handed to the disk")
+                warn!("state: this incarnation could not be queued for writing")
             }
         }
-        self.found.replace(memory);
+        self.loaded.replace(memory);
     }
 
-    /// Waits until this start is durable: the folder and the start's number there. None where nothing is kept, or not
-    /// within this time.
-    pub async fn start(&self, within: Duration) -> Option<(u128, u64)> {
-        let mut start = self.start.subscribe();
-        let known = timeout(within, start.wait_for(Option::is_some)).await;
+    /// Waits until the incarnation is durable, and returns the folder's id and the incarnation; none if
+    /// nothing is persisted, or not within this time.
+    pub async fn wait_for_incarnation(&self, within: Duration) -> Option<(u128, u64)> {
+        let mut durable_start = self.durable_start.subscribe();
+        let known = timeout(within, durable_start.wait_for(Option::is_some)).await;
         known.ok()?.ok()?.flatten()
     }
 
-    /// Adds its figures.
+    /// Adds these metrics to a registry.
     pub fn register(&self, registry: &mut Registry) {
         let writer = self.writer();
-        let figures = writer.figures();
+        let stats = writer.figures();
         let state = registry.sub_registry_with_prefix("state");
         for (name, help, value) in [
             (
                 "kept",
                 "1 while what is said here is kept",
-                u64::from(!self.over.get() && !self.failing.get()),
+                u64::from(!self.stopped.get() && !self.failing.get()),
             ),
             ("incarnation", "Starts on this folder, as far as they are durable", self.incarnation.get()),
             ("set_aside", "Memories found at this start that could not be trusted", self.set_aside.get()),
             ("waiting", "Batches that wait for the disk", writer.waiting() as u64),
-            ("longest_commit_us", "What the longest commit took", figures.longest_us.load(Relaxed)),
+            ("longest_commit_us", "What the longest commit took", stats.longest_us.load(Relaxed)),
         ] {
             state.register(name, help, ConstGauge::new(value as i64));
         }
         let stuck = "For how long the disk has been at one commit";
         state.register("stuck_seconds", stuck, ConstGauge::new(writer.stuck_for()));
         for (name, help, count) in [
-            ("commits", "Commits, each with its syncs", &figures.commits),
-            ("commits_us", "What all commits took", &figures.commits_us),
-            ("durable", "Batches that are durable", &figures.durable),
-            ("refused", "Batches refused as too many waited", &figures.refused),
+            ("commits", "Commits, each with its syncs", &stats.commits),
+            ("commits_us", "What all commits took", &stats.commits_us),
+            ("durable", "Batches that are durable", &stats.durable),
+            ("refused", "Batches refused as too many waited", &stats.refused),
         ] {
             state.register(name, help, ConstCounter::new(count.load(Relaxed)));
         }
