--- a/src/api/actions.rs
+++ b/src/api/actions.rs
@@ -12,7 +12,7 @@
         request: RequestId,
         /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// The attempt has timed out after this long.
+        /// The time-out of the attempt.
         timeout: Duration,
         /// The attempt must not be written to the endpoint later than this from now, however long
         /// connecting takes: the window for retries of a keyed request is over by then, or the lease on the
--- a/src/api/endpoints.rs
+++ b/src/api/endpoints.rs
@@ -25,7 +25,7 @@
 /// The state of an endpoint in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// May get requests.
     Ready,
     /// Finishes the requests that it has; must get no new ones.
     Draining,
@@ -76,7 +76,8 @@
 pub enum DiscoveryFailure {
     /// The connection was refused: nothing listens at the address.
     NotListening,
-    /// The call was refused at once, without having waited in discovery's queue.
+    /// The call was refused at once: it has not waited in discovery's queue, and has cost discovery no
+    /// time.
     RefusedAtOnce,
     /// The call was refused after it had waited in discovery's queue, as discovery serves other callers in
     /// turn.
@@ -93,7 +94,7 @@
 /// What a failure proves about the state of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryEvidence {
-    /// It was down at that time, so that no process can have got a newer list.
+    /// It was down at that time, so that no process can have got anything from it.
     Down,
     /// Nothing: it may be up, but behind a full listen queue or a network partition.
     Unknown,
--- a/src/api/events.rs
+++ b/src/api/events.rs
@@ -17,7 +17,7 @@
         /// Time until the client gives up on the request.
         time_left: Duration,
     },
-    /// Sending a streamed request body has begun. It is not buffered, so the request can't be retried.
+    /// Sending a streamed request body has begun. It is not buffered, so the request can't be sent again.
     BodySendStarted(RequestId),
     /// A streamed answer has begun. From now on it is up to the client when the attempt ends.
     StreamStarted {
