--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -145,7 +145,9 @@
     if let Some(peers) = &peers {
         let inbox = inbox.clone();
         // Fails only while the process ends.
-        spawn_local(peers.clone().follow(move |living| drop(inbox.send(Input::Balancers(living)))));
+        spawn_local(
+            peers.clone().report_balancers(move |living| drop(inbox.send(Input::Balancers(living)))),
+        );
         let (peers, persistence) = (peers.clone(), persistence.clone());
         spawn_local(async move {
             // An incarnation is not announced before it is durable.
@@ -153,9 +155,9 @@
                 Some(persistence) => persistence.wait_for_incarnation(DISK_WAIT).await,
                 None => None,
             };
-            let kept =
+            let persisted =
                 persistence.zip(start).map(|(persistence, (folder, _))| persistence.join_data(folder));
-            peers.join(start, kept);
+            peers.join(start, persisted);
         });
     }
     let health = DiscoveryHealth::new();
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,4 +1,5 @@
-//! The fleet that this process is one of, as the serving thread sees it: told by the fleet's threads, never waited for.
+//! The fleet that this process is a member of, as seen by the serving thread, which the fleet's threads
+//! notify and which never blocks on them.
 
 use crossbeam_channel::Receiver;
 use gullpulley::fleet::host::{Config, DiskSays, Figures, Fleet, Joining};
@@ -15,12 +16,12 @@
 use std::time::Duration;
 use tracing::error;
 
-/// Every way for a view to stand, with its name in figures.
-const STANDINGS: [(Standing, &str); 3] =
+/// All convergence states of a view, with their names in metrics.
+const CONVERGENCE_STATES: [(Standing, &str); 3] =
     [(Standing::Converged, "converged"), (Standing::Converging, "converging"), (Standing::Split, "split")];
 
-/// Every part in the log, with its name in figures.
-const PARTS: [(log::Role, &str); 5] = [
+/// All roles in the log, with their names in metrics.
+const ROLES: [(log::Role, &str); 5] = [
     (log::Role::Founding, "founding"),
     (log::Role::Voter, "voter"),
     (log::Role::Leader, "leader"),
@@ -30,17 +31,17 @@
 
 type Labels = Vec<(&'static str, &'static str)>;
 
-/// A process's fleet.
+/// This process's membership in its fleet.
 pub struct Peers {
     fleet: Fleet,
-    /// As many balancers as its configuration states.
+    /// The number of balancers in the configuration.
     configured: u32,
-    /// It is one of those that vote.
-    votes: bool,
+    /// Whether this process is a configured voter.
+    is_voter: bool,
 }
 
 impl Peers {
-    /// Starts the fleet's threads; returns at once.
+    /// Starts the fleet's threads and returns at once.
     pub fn start(
         config: Config,
         name: &str,
@@ -48,39 +49,41 @@
         balancers: u32,
         disk: Receiver<DiskSays>,
     ) -> io::Result<Rc<Self>> {
-        let votes = config.voters.iter().any(|voter| voter == name);
+        let is_voter = config.voters.iter().any(|voter| voter == name);
         let fleet = Fleet::start(config, name, zone, balancers, disk)?;
-        Ok(Rc::new(Peers { fleet, configured: balancers, votes }))
+        Ok(Rc::new(Peers { fleet, configured: balancers, is_voter }))
     }
 
-    /// Tells how many share the work, whenever that changes.
-    pub async fn follow(self: Rc<Self>, tell: impl Fn(u32)) {
-        let (mut view, mut told) = (self.fleet.view(), self.configured);
+    /// Reports the number of balancers that share the load, whenever it changes.
+    pub async fn report_balancers(self: Rc<Self>, report: impl Fn(u32)) {
+        let (mut view, mut reported) = (self.fleet.view(), self.configured);
         while view.changed().await.is_ok() {
-            let living = view.borrow_and_update().as_ref().map_or(told, |view| view.balancers as u32);
-            if std::mem::replace(&mut told, living) != living {
-                tell(living);
+            let balancers =
+                view.borrow_and_update().as_ref().map_or(reported, |view| view.balancers as u32);
+            if std::mem::replace(&mut reported, balancers) != balancers {
+                report(balancers);
             }
         }
     }
 
-    /// Joins the others, with this start on a state folder where there is one, and with what it brings to the log.
-    pub fn join(&self, start: Option<(u128, u64)>, kept: Option<Joining>) {
-        if kept.is_none() && self.votes {
+    /// Joins the fleet: `start` is the state folder's id and the incarnation, if there is a state folder,
+    /// and `persisted` the persisted state for the log.
+    pub fn join(&self, start: Option<(u128, u64)>, persisted: Option<Joining>) {
+        if persisted.is_none() && self.is_voter {
             error!(
-                "fleet log: this process votes, and its state is not kept: it has no part until it starts again"
+                "fleet log: this process is a voter, but its state is not persisted: it takes no part until it restarts"
             );
             return self.fleet.join(start, None);
         }
-        self.fleet.join(start, Some(kept.unwrap_or_else(Joining::without_state)));
+        self.fleet.join(start, Some(persisted.unwrap_or_else(Joining::without_state)));
     }
 
-    /// Tells the others that this process leaves.
+    /// Announces to the other members that this process leaves.
     pub fn leave(&self) {
         self.fleet.leave();
     }
 
-    /// How the fleet is, a line each.
+    /// The status of the fleet, one value per line.
     pub fn report(&self) -> String {
         let mut text = String::new();
         let mut line = |name: &str, value: &dyn std::fmt::Display| {
@@ -90,8 +93,8 @@
         match &*self.fleet.view().borrow() {
             None => line("standing", &"waiting for its address"),
             Some(view) => {
-                line("standing", &name(view.standing));
-                line("for_s", &self.lasted(view).as_secs());
+                line("standing", &state_name(view.standing));
+                line("for_s", &self.state_age(view).as_secs());
                 line("living", &view.living);
                 line("suspects", &view.suspects);
                 line("known", &view.known);
@@ -101,7 +104,7 @@
             }
         }
         if let Some(view) = &*self.fleet.log().borrow() {
-            line("log.part", &part(view.role));
+            line("log.part", &role_name(view.role));
             line("log.history", &format_args!("{:016x}", view.log_id));
             line("log.leader", &view.leader.as_deref().unwrap_or_default());
             line("log.term", &view.term);
@@ -121,11 +124,11 @@
         text
     }
 
-    fn lasted(&self, view: &View) -> Duration {
+    fn state_age(&self, view: &View) -> Duration {
         self.fleet.figures().elapsed().saturating_sub(view.since)
     }
 
-    /// Adds its figures.
+    /// Adds these metrics to a registry.
     pub fn register(&self, registry: &mut Registry) {
         let fleet = registry.sub_registry_with_prefix("fleet");
         let mut gauge = |name: &str, help: &str, value: f64| {
@@ -145,15 +148,15 @@
             gauge(
                 "standing_seconds",
                 "For how long the view has stood as it does",
-                self.lasted(view).as_secs_f64(),
+                self.state_age(view).as_secs_f64(),
             );
-            for (standing, name) in STANDINGS {
+            for (standing, name) in CONVERGENCE_STATES {
                 let help = "1 while the view stands so";
                 gauge(name, help, f64::from(u8::from(view.standing == standing)));
             }
         }
         if let Some(view) = &*self.fleet.log().borrow() {
-            for (this, name) in PARTS {
+            for (this, name) in ROLES {
                 let help = "1 while this process has that part in the log";
                 gauge(&format!("log_{name}"), help, f64::from(u8::from(view.role == this)));
             }
@@ -215,10 +218,10 @@
     }
 }
 
-fn name(standing: Standing) -> &'static str {
-    STANDINGS[standing as usize].1
+fn state_name(standing: Standing) -> &'static str {
+    CONVERGENCE_STATES[standing as usize].1
 }
 
-fn part(part: log::Role) -> &'static str {
-    PARTS[part as usize].1
+fn role_name(role: log::Role) -> &'static str {
+    ROLES[role as usize].1
 }
