--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -1,5 +1,5 @@
-//! What the operators may read: counts since the start of the process, each taken once, where the fact
-//! occurs. How many endpoints there are, and which of them are avoided, the module says.
+//! Metrics: counts since the start of the process, each recorded once, where the event occurs. The numbers
+//! of endpoints and of unavailable ones come from the policy.
 
 use super::discovery_health::DiscoveryHealth;
 use super::peers::Peers;
@@ -20,7 +20,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How a request ended, as its client sees it.
+/// The outcome of a request, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// Served: 200.
@@ -31,22 +31,22 @@
     Failed,
 }
 
-/// Every way for a request to end, with its name in the report.
+/// All outcomes of a request, with their names in the report.
 const ENDS: [(End, &str); 3] =
     [(End::Completed, "completed"), (End::Rejected, "rejected"), (End::Failed, "failed")];
-/// The zones that a window is of, in the order of the stats.
+/// The zones of the concurrency windows, in the order of the policy's statistics.
 const WINDOWS: [&str; 2] = ["own", "other"];
 
 type Labels = Vec<(&'static str, String)>;
 
-/// The counts of one process.
+/// The counters of one process.
 pub struct Counters {
     classes: Vec<Class>,
-    upstream: Cell<u64>,
+    attempts: Cell<u64>,
     pending: Cell<u64>,
-    /// Of all classes and ends; each class has its own by hand.
-    taking: Family<Labels, Histogram>,
-    deciding: Histogram,
+    /// Request durations by class and outcome; each class also holds its own.
+    durations: Family<Labels, Histogram>,
+    decision_times: Histogram,
     log: LogHandle,
     health: Rc<DiscoveryHealth>,
     persistence: Option<Rc<Persistence>>,
@@ -56,19 +56,19 @@
 struct Class {
     name: String,
     ended: [Cell<u64>; ENDS.len()],
-    taking: [Histogram; ENDS.len()],
+    durations: [Histogram; ENDS.len()],
 }
 
-/// A request that was taken and has not ended; counts as pending while it lives. One that is dropped
-/// without an end has lost its client, and stands under no end.
+/// A request that was accepted and has not ended; counts as pending until it is dropped. One that is
+/// dropped without an outcome has lost its client, and is counted under no outcome.
 pub struct PendingRequest {
     counters: Rc<Counters>,
     class: usize,
-    at: Instant,
+    started: Instant,
 }
 
 impl Counters {
-    /// Nothing counted yet.
+    /// Counters at zero.
     pub fn new(
         classes: &[String],
         log: LogHandle,
@@ -76,27 +76,37 @@
         persistence: Option<Rc<Persistence>>,
         peers: Option<Rc<Peers>>,
     ) -> Rc<Self> {
-        // 1 ms to 16 s, and 1 us to 16 ms: what a bucket tells is right within a factor of two, or four.
-        let taking: Family<Labels, Histogram> =
+        // 1 ms to 16 s, and 1 us to 16 ms: a bucket is precise within a factor of two, or four.
+        let durations: Family<Labels, Histogram> =
             Family::new_with_constructor(|| Histogram::new(exponential_buckets(0.001, 2.0, 15)));
-        let deciding = Histogram::new(exponential_buckets(1e-6, 4.0, 8));
+        let decision_times = Histogram::new(exponential_buckets(1e-6, 4.0, 8));
         let class = |name: &String| Class {
             name: name.clone(),
             ended: Default::default(),
-            taking: ENDS.map(|(_, end)| taking.get_or_create(&labels(name, end)).clone()),
+            durations: ENDS.map(|(_, end)| durations.get_or_create(&labels(name, end)).clone()),
         };
-        let (upstream, pending) = Default::default();
+        let (attempts, pending) = Default::default();
         let classes = classes.iter().map(class).collect();
-        Rc::new(Counters { classes, upstream, pending, taking, deciding, log, health, persistence, peers })
+        Rc::new(Counters {
+            classes,
+            attempts,
+            pending,
+            durations,
+            decision_times,
+            log,
+            health,
+            persistence,
+            peers,
+        })
     }
 
-    /// A request of a class has come whole.
+    /// Records that a request of a class was received completely.
     pub fn start_request(self: &Rc<Self>, class: usize) -> PendingRequest {
         self.pending.set(self.pending.get() + 1);
-        PendingRequest { counters: self.clone(), class, at: Instant::now() }
+        PendingRequest { counters: self.clone(), class, started: Instant::now() }
     }
 
-    /// A request of a class ended.
+    /// Counts the outcome of a request of a class.
     pub fn record_end(&self, class: usize, end: End) {
         if let Some(class) = self.classes.get(class) {
             let count = &class.ended[end as usize];
@@ -104,23 +114,24 @@
         }
     }
 
-    /// An attempt was written to an endpoint, or is taken back as it never was.
+    /// Counts an attempt that was written to an endpoint; with `written` false takes back the count of one
+    /// that in fact was not.
     pub fn record_attempt(&self, written: bool) {
-        let count = self.upstream.get();
-        self.upstream.set(if written { count + 1 } else { count.saturating_sub(1) });
+        let count = self.attempts.get();
+        self.attempts.set(if written { count + 1 } else { count.saturating_sub(1) });
     }
 
-    /// The module has decided on an event, in this time.
+    /// Records how long the policy took to decide on an event.
     pub fn record_decision(&self, took: Duration) {
-        self.deciding.observe(took.as_secs_f64());
+        self.decision_times.observe(took.as_secs_f64());
     }
 
-    /// Lines of the log dropped since the start.
+    /// The number of log lines dropped since the start.
     pub fn dropped_lines(&self) -> u64 {
         self.log.dropped()
     }
 
-    /// All figures, a line each, as the operators named them.
+    /// The metrics that operators specified, under their names and one per line.
     pub fn report(&self, stats: BalancerStats) -> String {
         let mut text = String::new();
         let mut line = |name: &str, value: u64| {
@@ -132,19 +143,19 @@
                 line(&format!("downstream_requests.{}.{name}", class.name), count);
             }
         }
-        line("upstream_requests", self.upstream.get());
+        line("upstream_requests", self.attempts.get());
         line("pending", self.pending.get());
         line("members", stats.members as u64);
         line("members_unavailable", stats.unavailable as u64);
         text
     }
 
-    /// How its fleet is; none where it is in none.
+    /// The status of the fleet; none if this process is in no fleet.
     pub fn fleet(&self) -> Option<String> {
         self.peers.as_ref().map(|peers| peers.report())
     }
 
-    /// The same figures and more, as OpenMetrics text.
+    /// The same metrics and more, as OpenMetrics text.
     pub fn open_metrics(&self, stats: BalancerStats) -> String {
         let mut registry = Registry::with_prefix("gullpulley");
         let build = Info::new(vec![("version", env!("CARGO_PKG_VERSION"))]);
@@ -158,10 +169,10 @@
         }
         registry.register("requests", "Requests that ended", ended);
         let help = "From a request's last byte to its answer, of those that were taken";
-        registry.register_with_unit("request", help, Unit::Seconds, self.taking.clone());
+        registry.register_with_unit("request", help, Unit::Seconds, self.durations.clone());
         let help = "Time that the module took to decide on an event";
-        registry.register_with_unit("decision", help, Unit::Seconds, self.deciding.clone());
-        let attempts = ConstCounter::new(self.upstream.get());
+        registry.register_with_unit("decision", help, Unit::Seconds, self.decision_times.clone());
+        let attempts = ConstCounter::new(self.attempts.get());
         registry.register("attempts", "Attempts written to endpoints", attempts);
         let dropped = ConstCounter::new(self.dropped_lines());
         registry.register("log_lines_dropped", "Lines of the log that nobody read in time", dropped);
@@ -209,11 +220,11 @@
 }
 
 impl PendingRequest {
-    /// It ended.
+    /// Records the outcome and the duration.
     pub fn end(self, end: End) {
         self.counters.record_end(self.class, end);
         if let Some(class) = self.counters.classes.get(self.class) {
-            class.taking[end as usize].observe(self.at.elapsed().as_secs_f64());
+            class.durations[end as usize].observe(self.started.elapsed().as_secs_f64());
         }
     }
 }
