--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -1,133 +1,135 @@
-//! The budget of sockets: every client and endpoint connection holds a permit, so that the limits
-//! on descriptors and memory are kept by count. A request in work holds one too, for its memory.
+//! Limits on sockets and memory: every client and endpoint connection holds a permit, so that the limits on
+//! descriptors and memory are enforced by counting. A request in progress holds one too, for its memory.
 
 use gullpulley::config::RESERVE;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Clients over the cap that may still be told so, out of the reserve.
-const SHED_MOST: usize = 24;
-/// The most memory that a request in work may take with its buffers, bodies and attempt, in KiB.
+/// Number of clients above the limit that are accepted only to be refused; their sockets come from the
+/// reserve.
+const MAX_SHED_CLIENTS: usize = 24;
+/// Maximum memory of a request in progress, with its buffers, bodies and attempt, in KiB.
 const REQUEST_KIB: usize = 160;
-/// The most that a client's connection may take between requests: a head that is never whole, in KiB.
+/// Maximum memory of a client connection between requests, reached by an incomplete request head, in KiB.
 const CONNECTION_KIB: usize = 64;
 
-/// Who holds a socket, or memory.
+/// What a permit is for.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Holder {
-    /// A client.
+    /// A client connection.
     Client,
-    /// A client over the cap, only to be refused.
+    /// A client connection above the limit, accepted only to be refused.
     Shed,
     /// A connection to an endpoint.
     Endpoint,
-    /// A request in work: memory, beside its connection's socket.
+    /// A request in progress: memory, in addition to its connection's socket.
     Request,
 }
 
-/// Counts of the sockets in use, and how many may be.
+/// Counts of permits in use, and their limits.
 pub struct Budget {
     total: usize,
-    clients_most: usize,
-    requests_most: usize,
-    /// Processes of this sidecar: each keeps to its part.
-    sharers: Cell<usize>,
+    max_clients: usize,
+    max_requests: usize,
+    /// The number of processes of this sidecar; each may use an equal share.
+    processes: Cell<usize>,
     requests: Cell<usize>,
     clients: Cell<usize>,
     shed: Cell<usize>,
     endpoints: Cell<usize>,
-    freed: Notify,
+    released: Notify,
 }
 
-/// One socket or share of memory in use; gives it back when dropped.
+/// A permit for one socket or for the memory of one request; released when dropped.
 pub struct Permit {
     budget: Rc<Budget>,
     holder: Holder,
 }
 
 impl Budget {
-    /// A budget within so many descriptors and MiB of memory.
+    /// A budget for this many descriptors and MiB of memory.
     pub fn new(sockets: usize, memory_mb: usize) -> Rc<Self> {
         let total = sockets.saturating_sub(RESERVE);
-        // An attempt needs a socket too: clients must not take what their own requests go out on.
-        // Most connections are idle or silent at any time, and take far less than a request in work.
-        let clients_most = (total * 5 / 8).min(memory_mb * 1024 / 4 / CONNECTION_KIB).max(1);
-        let requests_most = (memory_mb * 1024 / 2 / REQUEST_KIB).max(1);
+        // An attempt needs a socket too: clients must not use up the sockets that their own requests need.
+        // Most connections are idle or silent at any time, and take far less memory than a request in
+        // progress.
+        let max_clients = (total * 5 / 8).min(memory_mb * 1024 / 4 / CONNECTION_KIB).max(1);
+        let max_requests = (memory_mb * 1024 / 2 / REQUEST_KIB).max(1);
         let (requests, clients, shed, endpoints) = Default::default();
-        let (sharers, freed) = (Cell::new(1), Notify::new());
+        let (processes, released) = (Cell::new(1), Notify::new());
         Rc::new(Budget {
             total,
-            clients_most,
-            requests_most,
-            sharers,
+            max_clients,
+            max_requests,
+            processes,
             requests,
             clients,
             shed,
             endpoints,
-            freed,
+            released,
         })
     }
 
-    /// A permit, if there is room for one.
+    /// A permit, if the limits allow one more.
     pub fn take(self: &Rc<Self>, holder: Holder) -> Option<Permit> {
-        let room = match holder {
+        let fits = match holder {
             Holder::Client => self.clients_fit() && self.sockets_fit(),
-            Holder::Shed => self.shed.get() < self.part(SHED_MOST),
+            Holder::Shed => self.shed.get() < self.share_of(MAX_SHED_CLIENTS),
             Holder::Endpoint => self.sockets_fit(),
-            Holder::Request => self.requests.get() < self.part(self.requests_most),
+            Holder::Request => self.requests.get() < self.share_of(self.max_requests),
         };
-        room.then(|| self.take_unconditionally(holder))
+        fits.then(|| self.take_unconditionally(holder))
     }
 
-    /// A permit for what holds its socket already, whether there is room or not.
+    /// A permit for a holder that has its socket already, regardless of the limits.
     pub fn take_unconditionally(self: &Rc<Self>, holder: Holder) -> Permit {
         let count = self.count(holder);
         count.set(count.get() + 1);
         Permit { budget: self.clone(), holder }
     }
 
-    /// Parts everything among so many processes; whether they are not as many as before. What is held over
-    /// the part stays held until it ends.
-    pub fn share(&self, processes: usize) -> bool {
-        self.sharers.replace(processes.max(1)) != processes.max(1)
+    /// Divides the limits among this many processes; returns whether the number has changed. Permits above
+    /// the new share remain valid until they are released.
+    pub fn share(&self, count: usize) -> bool {
+        self.processes.replace(count.max(1)) != count.max(1)
     }
 
-    /// Whether only the connections to endpoints stand in the way of one more client.
+    /// Whether one more client would fit but for the connections to endpoints.
     pub fn blocked_by_endpoints(&self) -> bool {
         self.clients_fit() && !self.sockets_fit()
     }
 
-    /// Whether more sockets are held than there is a part for.
+    /// Whether more sockets are in use than this process's share.
     pub fn over_limit(&self) -> bool {
-        self.in_use() > self.part(self.total)
+        self.in_use() > self.share_of(self.total)
     }
 
     fn clients_fit(&self) -> bool {
-        self.clients.get() < self.part(self.clients_most)
+        self.clients.get() < self.share_of(self.max_clients)
     }
 
     fn sockets_fit(&self) -> bool {
-        self.in_use() < self.part(self.total)
+        self.in_use() < self.share_of(self.total)
     }
 
-    fn part(&self, whole: usize) -> usize {
-        (whole / self.sharers.get()).max(1)
+    fn share_of(&self, limit: usize) -> usize {
+        (limit / self.processes.get()).max(1)
     }
 
-    /// Whether no more than an eighth of the clients' places are left.
+    /// Whether at most an eighth of the client limit is unused.
     pub fn clients_near_limit(&self) -> bool {
-        self.clients.get() * 8 >= self.part(self.clients_most) * 7
+        self.clients.get() * 8 >= self.share_of(self.max_clients) * 7
     }
 
-    /// Connected clients.
+    /// The number of connected clients, with those accepted only to be refused.
     pub fn clients(&self) -> usize {
         self.clients.get() + self.shed.get()
     }
 
-    /// Waits until a client's socket comes free.
+    /// Waits until a client's permit is released.
     pub async fn client_released(&self) {
-        self.freed.notified().await;
+        self.released.notified().await;
     }
 
     fn in_use(&self) -> usize {
@@ -149,7 +151,7 @@
         let count = self.budget.count(self.holder);
         count.set(count.get() - 1);
         if matches!(self.holder, Holder::Client | Holder::Shed) {
-            self.budget.freed.notify_one();
+            self.budget.released.notify_one();
         }
     }
 }
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,12 +1,12 @@
-//! The time that the module is told.
+//! The clock that the policy is driven by.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What the clock shows as it starts: what was before can be told of in positive times.
+/// The clock's reading when it starts, so that earlier events have non-negative times.
 const ORIGIN: Duration = Duration::from_secs(24 * 3600);
 
-/// A monotonic clock. It knows nothing of the wall clock, which may be stepped at any time.
+/// A monotonic clock, independent of the wall clock, which may be stepped at any time.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
