--- a/src/fleet/sequence_window.rs
+++ b/src/fleet/sequence_window.rs
@@ -1,11 +1,12 @@
-//! Which numbers of a sender have come: of a life's datagrams, and of a client's orders.
+//! Detection of duplicate sequence numbers: of the datagrams that a process sends between two starts, and of a client's
+//! commands.
 
 use serde::{Deserialize, Serialize};
 
-/// Numbers that may overtake each other: one further behind the newest counts as come.
+/// How far numbers may arrive out of order: one further behind the newest counts as a duplicate.
 pub(super) const WINDOW: u64 = 64;
 
-/// The newest, and a bit for each of those before it.
+/// The newest number received, and a bit for each of those before it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct SequenceWindow {
     newest: u64,
@@ -13,12 +14,12 @@
 }
 
 impl SequenceWindow {
-    /// Only this one.
+    /// A window that has received only this number.
     pub(super) fn first(number: u64) -> Self {
         SequenceWindow { newest: number, before: 0 }
     }
 
-    /// Takes a number; whether it had not come before.
+    /// Records a number; true if it is not a duplicate.
     pub(super) fn insert(&mut self, number: u64) -> bool {
         let shift = |bits: u64, by: u64| if by < WINDOW { bits << by } else { 0 };
         if number > self.newest {
