--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,12 +1,14 @@
-//! Every decision on requests, without I/O or a clock: events in, actions out, time handed in, random
-//! numbers from its seed. Its interface (settings, events, actions) is in `api`.
+//! The load balancing policy: all decisions on requests, sans I/O. It takes events and returns actions;
+//! the caller passes in the time, and random numbers come from a seed. Its interface (settings, events,
+//! actions) is in `api`.
 //!
-//! A request comes in through `requests`, which asks `choice` for an endpoint among those that `list`
-//! holds; `list_lease` says until when the list may be sent by, and `discovery_schedule` when discovery
-//! is called for the next one; where the list can't be sent by any more `health` asks the endpoints
-//! themselves, and `continuity` says since when each has gone on without a break; `cold` and `limits`
-//! narrow what is eligible, `retries` says whether a failed attempt is made again. Where there is no room
-//! `limits` holds the request, and lets the worthiest go first.
+//! `requests` handles the life of a request and asks `choice` for an endpoint among those in
+//! `endpoint_list`. `list_lease` computes until when requests may be sent by the endpoint list, and
+//! `discovery_schedule` when discovery is called for the next one. Once the lease has expired,
+//! `health_checks` probes the endpoints themselves, and `continuity` tells since when each has run
+//! without interruption. `slow_start` and `limits` narrow the set of eligible endpoints; `retries`
+//! decides whether a failed attempt is retried. While there is no capacity `limits` queues requests, and
+//! the most valuable one is sent first.
 
 mod choice;
 mod continuity;
@@ -32,7 +34,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// What makes the schedule's draws others than those of choices.
+/// Mixed into the seed, so that the schedule draws other random numbers than the choice of endpoints.
 const SCHEDULE_SEED: u64 = 0x5bd1_e995;
 
 enum Timer {
@@ -43,66 +45,68 @@
     Recheck,
 }
 
-/// The decisions of one balancer.
+/// The load balancing policy of one balancer.
 pub struct Balancer {
     settings: Settings,
     created_at: Duration,
     rng: SeededRng,
     endpoints: Vec<Endpoint>,
     index: HashMap<EndpointId, usize>,
-    /// What the operators have taken out, listed or not, and when they gave back what may still be cold.
+    /// Suspended endpoints, listed or not, and when those that may still be in slow start were resumed.
     suspended: HashSet<EndpointId>,
     resumed: HashMap<EndpointId, Duration>,
-    /// Processes that are this balancer together.
+    /// Processes that run this balancer together.
     processes: f64,
-    /// Ready endpoints: of the own zone, of others, each first those of this balancer's part, then all.
+    /// Indexes of ready endpoints: subset in the own zone, subset in other zones, all in the own zone,
+    /// all in other zones.
     pools: [Vec<usize>; 4],
     requests: HashMap<RequestId, Pending>,
     queued: Vec<RequestId>,
-    /// Heat that three quarters of the endpoints share: it comes from below and is nobody's fault here.
-    /// Not the median's, or a zone lost would pass for it.
+    /// Failure penalty that three quarters of the endpoints reach or exceed: its cause lies in a tier
+    /// further down, so it counts against none of them. Not the median, or a lost zone would count as
+    /// such.
     common_penalty: f64,
-    /// Which of the listed endpoints are sent to: fewer while the list may be stale.
+    /// Which of the listed endpoints may be sent to: fewer while the list may be stale.
     eligibility: Eligibility,
-    /// When endpoints may be asked for their health again, and one that is left out.
+    /// Earliest time of the next batch of health checks, and of the next probe of an excluded endpoint.
     next_probe_at: Duration,
     next_excluded_probe_at: Duration,
-    /// Endpoints whose health is kept known while the lease on the list is out.
+    /// Endpoints that are health-checked regularly around and after the end of the lease on the list.
     health_checked: Vec<EndpointId>,
-    /// Of the own zone and of all others together: a crowded zone must not shut the others.
+    /// Of the own zone, and of all others together: an overloaded zone must not block the others.
     windows: [Window; 2],
     recheck_scheduled: bool,
-    /// The value of the worthiest request refused of late without having been sent.
+    /// The highest value of a request that was recently refused without having been sent.
     refused_value: DecayingValue,
     timers: HashMap<u64, Timer>,
     last_timer: u64,
     latency: Vec<Latency>,
     retry_tokens: f64,
-    /// Requests by tenant.
+    /// Request rate of each tenant.
     tenants: Vec<DecayingValue>,
     arrivals: DecayingValue,
-    /// Requests served by warm endpoints.
+    /// Rate of requests served by warm endpoints.
     served: DecayingValue,
-    /// The most a warm endpoint has lately been seen to serve for this balancer, a second.
+    /// The highest recent rate, in requests a second, at which a warm endpoint served this balancer.
     warm_rate: DecayingValue,
-    /// Attempts lately without an answer, less what answers refute.
+    /// Recent attempts that got no answer, less a part for each answer that came.
     unanswered: DecayingValue,
     late_share: f64,
-    /// How far silence goes with connections that lay idle, and from how long on.
+    /// Evidence that connections are dropped while idle, and the idle time from which on that is assumed.
     idle_drops: f64,
     idle_drop_after: Duration,
     schedule: DiscoverySchedule,
-    /// The timer of the next call at discovery: there is one at the most.
+    /// The timer of the next call to discovery; there is at most one.
     discovery_timer: Option<u64>,
     /// The timer of the end of the lease on the list.
     lease_timer: Option<u64>,
-    /// Requests held as that lease had run out.
+    /// Number of requests queued because the lease had expired.
     queued_without_lease: u64,
     windows_initialized: bool,
 }
 
 impl Balancer {
-    /// A balancer that knows no endpoints yet. Equal settings, seeds and events give equal actions.
+    /// Creates a balancer without endpoints. The same settings, seed and events produce the same actions.
     pub fn new(settings: Settings, seed: u64, now: Duration) -> Result<Self, SettingsError> {
         settings.validate()?;
         let (classes, tenants) = (settings.classes.len(), settings.tenants.len());
@@ -147,7 +151,7 @@
         })
     }
 
-    /// Takes one event at `now` and appends what is to be done.
+    /// Handles an event at time `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Membership(update) => self.on_membership(now, update, out),
@@ -203,12 +207,12 @@
         }
     }
 
-    /// Things remembered: endpoints, requests, timers. Stays in proportion to what is going on.
+    /// Number of endpoints, requests and timers in memory. Stays proportional to the current load.
     pub fn tracked_entries(&self) -> usize {
         self.endpoints.len() + self.requests.len() + self.timers.len() + self.queued.len()
     }
 
-    /// Whether requests may be sent by the endpoint list.
+    /// Whether the lease on the endpoint list is valid, so that requests may be sent by the list.
     pub fn list_lease_valid(&self, now: Duration) -> bool {
         self.schedule.lease().is_valid(now)
     }
@@ -216,7 +220,8 @@
     /// How many endpoints are listed, and how many of them would not take a call now.
     pub fn stats(&self, now: Duration) -> BalancerStats {
         let listed = || self.endpoints.iter().filter(|e| e.info.state != EndpointState::Gone);
-        // What holds all the calls that it may is in use; one that failures bar from its first is avoided.
+        // An endpoint at its limit is in use, not unavailable; one whose failure penalty leaves no room
+        // for a single call is avoided.
         let barred = |e: &&Endpoint| {
             !e.is_ready() || e.failure_penalty(now) - self.common_penalty + 1.0 > e.limit.max(1.0)
         };
@@ -232,7 +237,7 @@
         }
     }
 
-    /// Calls discovery now, and again beside that call should it stay silent.
+    /// Calls discovery now, and schedules a second, concurrent call in case the first gets no answer.
     fn call_discovery(&mut self, now: Duration, out: &mut Vec<Action>) {
         self.cancel_discovery_call();
         out.push(Action::Watch(true));
@@ -241,7 +246,7 @@
         }
     }
 
-    /// Calls discovery after so long, and not before: an earlier plan is void.
+    /// Calls discovery after `wait`, in place of any call scheduled before.
     fn call_discovery_after(&mut self, wait: Duration, out: &mut Vec<Action>) {
         self.cancel_discovery_call();
         self.set_timer(wait, Timer::CallDiscovery, out);
