--- a/src/policy/choice.rs
+++ b/src/policy/choice.rs
@@ -1,7 +1,7 @@
-//! The choice of an endpoint, SQ(d): sample `CHOICES` ready endpoints at random, send to the one with
-//! the fewest of this balancer's own calls in flight, break ties at random. Each exception either
-//! narrows the eligible set or adds to an endpoint's occupancy; none is a second chooser. It may know
-//! what was seen of each endpoint.
+//! The choice of an endpoint by SQ(d), the power of d choices: sample `SAMPLE_SIZE` ready endpoints at
+//! random, send to the one with the fewest of this balancer's own calls in flight, break ties at random.
+//! Each exception either narrows the eligible set or adds to an endpoint's occupancy; none is a second
+//! selection algorithm. Depends only on what was observed of each endpoint.
 
 use super::Balancer;
 use super::endpoint_list::Endpoint;
@@ -10,53 +10,59 @@
 use crate::api::*;
 use std::time::Duration;
 
-/// Endpoints sampled for a call: the paper's d; two gives most of the gain.
+/// Endpoints sampled for a call, the d of SQ(d): two gives most of the gain.
 const SAMPLE_SIZE: usize = 2;
-/// Endpoints of a pool looked at for one choice, open or not: work a request must not grow with the fleet.
+/// Endpoints of a pool examined for one choice, eligible or not: the work for a request must not grow
+/// with the fleet.
 const MAX_EXAMINED: usize = 16;
-/// A failure weighs like this many calls in flight, or quick errors would win every sample.
+/// A failure counts as this many calls in flight; otherwise an endpoint that fails fast would look idle
+/// and win every sample.
 const FAILURE_PENALTY: f64 = 1.0;
-/// Failures weigh no more than this together, so that an endpoint cools within some seconds.
+/// Upper bound of the failure penalty, in calls in flight, so that it decays within some seconds.
 const FAILURE_PENALTY_MAX: f64 = 12.0;
-/// Less heat than this is none: a trace of it would lose every tie and bar an idle endpoint for good.
+/// A failure penalty below this counts as zero: a remainder would lose every tie and exclude an idle
+/// endpoint for good.
 const FAILURE_PENALTY_MIN: f64 = 0.5;
-/// Seconds in which the weight of failures falls to a third: long enough for a streak to add up.
+/// Time constant, in seconds, in which the failure penalty falls to a third: long enough for a run of
+/// failures to add up.
 const FAILURE_PENALTY_DECAY_S: f64 = 4.0;
-/// An endpoint's answers may take longer than the unhurried mean by this multiple of it before that counts.
+/// Latency above the unloaded mean counts only beyond this multiple of that mean.
 const LATENCY_TOLERANCE: f64 = 0.5;
-/// Weight of one answer in an endpoint's drag, and in the share of late answers.
+/// Weight of one answer in an endpoint's latency penalty, and in the share of late answers.
 pub(super) const LATENCY_WEIGHT: f64 = 0.15;
-/// Seconds in which drag is forgotten to a third, so that a slow endpoint is tried again.
+/// Time constant, in seconds, in which the latency penalty falls to a third, so that a slow endpoint is
+/// tried again.
 pub(super) const LATENCY_DECAY_S: f64 = 6.0;
-/// Occupancy by which an endpoint of another zone must be better: a crossing costs time and money.
+/// An endpoint of another zone must be less occupied by this much: crossing zones costs time and money.
 const CROSS_ZONE_MARGIN: f64 = 1.0;
 
-/// How far the list is believed: the longer nothing was heard of discovery, the more an endpoint has to
-/// show.
+/// Which endpoints of the list may be sent to: the longer discovery is unreachable, the stronger the
+/// evidence that an endpoint has to give.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Eligibility {
-    /// All that are listed as ready are sent to.
+    /// All that are listed as ready.
     AllListed,
     /// Those whose last call was not refused.
     NotRefusing,
-    /// Those that took a call of late.
+    /// Those that recently accepted a call.
     RecentlyAccepting,
-    /// The lease on the list has run out, and any may count as known to leave but those that have gone on
-    /// without a break since the list was complete, and whose own health check has said of late that they
-    /// take requests. None where this process was never told a list.
+    /// The lease on the list has expired, and any endpoint may by now be known to be leaving, except
+    /// those that have run without interruption since the list was complete and have recently passed
+    /// their own health check. None if this process never received a list.
     ContinuouslyHealthy {
-        /// Up to when the list is known to be complete.
+        /// Time up to which the list is known to be complete.
         since: Option<Duration>,
     },
 }
 
 impl Balancer {
-    /// The eligible set, then d samples, then the least occupied, ties at random.
+    /// Samples d endpoints of the eligible set and returns the least occupied, breaking ties at random.
     pub(super) fn pick_endpoint(&mut self, now: Duration, id: RequestId) -> Option<usize> {
         self.common_penalty = self.common_failure_penalty(now);
         self.eligibility = self.current_eligibility(now);
-        // Of this balancer's part, or of all where too few of it can take the call.
-        // With several times the mean it would crowd its part of a zone: beyond C calls each, all of it.
+        // Samples this balancer's subset, or all endpoints if too few of the subset can take the call. A
+        // balancer with several times the mean load would overload its subset of a zone: beyond C calls
+        // for each endpoint there, it uses the whole zone.
         let crowds = |side: usize| {
             f64::from(self.windows[side].in_flight) >= INITIAL_LIMIT * self.pools[side].len() as f64
         };
@@ -67,7 +73,7 @@
             if pool == 0 && near.1 + far.1 < SAMPLE_SIZE {
                 continue;
             }
-            // Own zone first: another one's best sample must be better by a clear margin.
+            // Prefer the own zone: the best sample of another zone must be better by a clear margin.
             match (near.0, far.0) {
                 (Some((_, a)), Some((j, b))) if b + CROSS_ZONE_MARGIN < a => return Some(j),
                 (Some((i, _)), _) | (None, Some((i, _))) => return Some(i),
@@ -77,9 +83,10 @@
         None
     }
 
-    /// Whom to send to: once the lease on the list has run out those that have gone on without a break
-    /// since it was complete, and whose health check says that they take requests; while the list is
-    /// doubted those that take calls, or, where there are none, those that have not refused the last one.
+    /// Returns which endpoints may be sent to. Once the lease on the list has expired: those that have
+    /// run without interruption since the list was complete and whose health check passes. While the list
+    /// may be stale: those that recently accepted calls or, if there are none, those that did not refuse
+    /// the last one.
     fn current_eligibility(&self, now: Duration) -> Eligibility {
         let lease = self.schedule.lease();
         if !lease.is_valid(now) {
@@ -98,31 +105,31 @@
             .unwrap_or(Eligibility::AllListed)
     }
 
-    /// Logs which endpoints are sent to from now on, where that has changed.
+    /// Logs which endpoints are sent to from now on, if that has changed.
     pub(super) fn log_eligibility(&self, before: Eligibility, out: &mut Vec<Action>) {
         if self.eligibility == before {
             return;
         }
         let text = match self.eligibility {
-            Eligibility::AllListed => "sending to all that are listed",
+            Eligibility::AllListed => "sending to all listed endpoints",
             Eligibility::NotRefusing => {
                 "list overdue: sending to endpoints that did not refuse their last call"
             }
             Eligibility::RecentlyAccepting => {
-                "list overdue: sending only to endpoints that took a call of late"
+                "list overdue: sending only to endpoints that recently accepted a call"
             }
             Eligibility::ContinuouslyHealthy { since: Some(_) } => {
-                "sending only to endpoints that have gone on without a break and whose health check passes"
+                "sending only to endpoints that have run without interruption and pass their health check"
             }
             Eligibility::ContinuouslyHealthy { since: None } => {
-                "sending to none: no list was told since the start"
+                "sending to none: no endpoint list received since the start"
             }
         };
         out.push(Action::Log(text.to_owned()));
     }
 
-    /// Draws d eligible endpoints of a pool without replacement: the least occupied and how many there
-    /// were. The first drawn wins ties.
+    /// Draws up to d eligible endpoints of a pool without replacement; returns the least occupied with
+    /// its occupancy, and how many were found. The first drawn wins ties.
     fn sample(&mut self, now: Duration, id: RequestId, pool: usize) -> (Option<(usize, f64)>, usize) {
         let (mut best, mut found): (Option<(usize, f64)>, usize) = (None, 0);
         let room = self.has_room(now, self.value(id), pool % 2);
@@ -146,7 +153,8 @@
         (best, found)
     }
 
-    /// The heat of the best quarter, of all endpoints or of every so many.
+    /// The lower quartile of the failure penalties of all endpoints, or of an evenly spaced sample of
+    /// them.
     fn common_failure_penalty(&mut self, now: Duration) -> f64 {
         let step = self.endpoints.len().div_ceil(MAX_EXAMINED).max(1);
         let skipped = self.rng.below(step);
@@ -156,13 +164,14 @@
         penalties.get(penalties.len() / 4).copied().unwrap_or(0.0)
     }
 
-    /// Own calls in flight and what failures beyond the common measure count for.
+    /// Own calls in flight plus the failure penalty beyond the common one.
     pub(super) fn load(&self, now: Duration, i: usize) -> f64 {
         let endpoint = &self.endpoints[i];
         f64::from(endpoint.in_flight) + (endpoint.failure_penalty(now) - self.common_penalty).max(0.0)
     }
 
-    /// Own calls in flight plus what failures, slow answers and an earlier attempt there count for.
+    /// Own calls in flight plus the penalties for failures, for slow answers and for an earlier attempt
+    /// there.
     fn occupancy(&self, now: Duration, i: usize, pending: &Pending) -> f64 {
         let endpoint = &self.endpoints[i];
         let penalty = (endpoint.latency_penalty.read(now, LATENCY_DECAY_S) - LATENCY_TOLERANCE).max(0.0);
@@ -170,8 +179,8 @@
         self.load(now, i) + penalty + if already_tried { FAILURE_PENALTY_MAX } else { 0.0 }
     }
 
-    /// Hard limits: the list, or what of it takes calls, the cold budget, rule 2 for a keyed request that
-    /// may have run.
+    /// Hard limits: the endpoint list and the current eligibility, the concurrency limit, the slow-start
+    /// budget, and rule 2 for a keyed request that may have run.
     pub(super) fn is_eligible(&self, now: Duration, i: usize, pending: &Pending) -> bool {
         let endpoint = &self.endpoints[i];
         let room = (endpoint.limit * self.warm_fraction(now, i)).max(1.0);
@@ -192,8 +201,8 @@
 }
 
 impl Endpoint {
-    /// Whether it may be sent to at this trust in the list. What has taken a call within the time of
-    /// `proof`, and refused none since, can't count as leaving yet.
+    /// Whether it may be sent to under this rule. An endpoint that has accepted a call within
+    /// `valid_for`, and refused none since, can't count as leaving yet.
     pub(super) fn satisfies(&self, now: Duration, rule: Eligibility, valid_for: Duration) -> bool {
         let refuses = self.refused.is_some() && self.refused >= self.accepted;
         match rule {
