--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,18 +1,21 @@
-//! Cold endpoints: how warm one surely is, and what all balancers together may send it until then. It
-//! may know when an endpoint started, and what warm ones were seen to serve for this balancer.
+//! Slow start: the part of its capacity that an endpoint surely has after its start, and how much all
+//! balancers together may send it until it is warm. Depends on when an endpoint started and on the rate
+//! at which warm endpoints served this balancer.
 
 use super::Balancer;
 use std::time::Duration;
 
-/// Share of the multiple at which a cold endpoint falls that all balancers together may use.
+/// Part of the multiple of capacity at which a cold endpoint falls over that all balancers together may
+/// use.
 const SLOW_START_CAUTION: f64 = 0.5;
-/// Seconds over which rates are averaged.
+/// Time constant, in seconds, over which rates are averaged.
 pub(super) const RATE_DECAY_S: f64 = 5.0;
-/// Seconds for which a warm endpoint's proven rate is believed without new proof.
+/// Time constant, in seconds, with which the observed rate of warm endpoints decays without new
+/// observations.
 const WARM_RATE_DECAY_S: f64 = 30.0;
 
 impl Balancer {
-    /// The part of its capacity that an endpoint surely has: it rises evenly from the cold share.
+    /// The part of its capacity that an endpoint surely has: it rises linearly from the cold share.
     pub(super) fn warm_fraction(&self, now: Duration, i: usize) -> f64 {
         let rules = &self.settings.rules;
         let Some(started) = self.endpoints[i].info.started else { return 1.0 };
@@ -20,8 +23,9 @@
         (rules.cold_share + (1.0 - rules.cold_share) * age).clamp(0.01, 1.0)
     }
 
-    /// Rule 4. All balancers together may send a cold endpoint a part of the multiple at which it
-    /// falls; each keeps to its own proportion, judged by what warm endpoints serve for it.
+    /// Rule 4: a token bucket of the requests that may be sent to an endpoint in slow start. All
+    /// balancers together may send it a part of the multiple at which it falls over; each balancer takes
+    /// its own proportion, estimated from the rate at which warm endpoints serve it.
     pub(super) fn slow_start_tokens(&self, now: Duration, i: usize) -> f64 {
         let rules = &self.settings.rules;
         let endpoint = &self.endpoints[i];
@@ -36,7 +40,8 @@
 
     pub(super) fn record_served_by_warm(&mut self, now: Duration) {
         self.served.count(now, RATE_DECAY_S);
-        // Over all that are ready, warm or not: too low a rate for the warm ones errs on the safe side.
+        // Averaged over all ready endpoints, warm or not: this underestimates the warm ones, which is
+        // safe.
         let rate = self.served.read(now, RATE_DECAY_S) / self.ready_count().max(1.0);
         if rate > self.warm_endpoint_rate(now) || self.warm_rate.value == 0.0 {
             self.warm_rate.set(now, rate);
