--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -1,41 +1,46 @@
-//! Whether an attempt is made again, or beside one that is still out. It may know the request's class
-//! and attempts, the budget that new requests earn, and which answers fail to come while others are
-//! timely.
+//! Retries and hedged requests: whether a further attempt is made after a failed one, or beside one that
+//! is still in flight. Depends on the request's class and attempts, on the retry budget that new requests
+//! earn, and on whether answers fail to come while others are timely.
 
 use super::Balancer;
 use super::requests::{Attempt, AttemptState};
 use crate::api::*;
 use std::time::Duration;
 
-/// Retries that each new request earns; all tiers retry, so the product must stay near one.
+/// Retries that each new request earns; all tiers retry, so the product of their ratios must stay near
+/// one.
 pub(super) const RETRY_EARN: f64 = 0.2;
-/// Retries that can be saved up, for a fault that strikes many calls at once.
+/// Retries that can be saved up, for a fault that hits many calls at once.
 pub(super) const RETRY_SAVED: f64 = 10.0;
-/// An attempt's answer may never come once it is out for the mean and so many mean distances from it: few
-/// answers take as long even where work is heavy-tailed ...
+/// An attempt counts as lost once it is overdue by this many mean deviations above the mean: few answers
+/// take as long even where service times are heavy-tailed ...
 pub(super) const LOST_DEVIATIONS: f64 = 8.0;
-/// ... or already after so many, while endpoints are known to be silent.
+/// ... and is hedged after this many already while answers are known to be lost.
 pub(super) const SLOW_DEVIATIONS: f64 = 2.0;
-/// Silences less those that answers refute, before they are acted on: above one in ten attempts.
+/// Lost attempts, less what answers offset, from which on they are acted on: more than one in ten
+/// attempts.
 const UNANSWERED_THRESHOLD: f64 = 1.5;
 pub(super) const UNANSWERED_REFUTED: f64 = 0.1;
 const UNANSWERED_MAX: f64 = 6.0;
-/// Seconds in which silence is forgotten to a third, so that old connections are trusted again.
+/// Time constant, in seconds, in which lost attempts fall to a third, so that old connections are used
+/// again.
 pub(super) const UNANSWERED_DECAY_S: f64 = 15.0;
-/// What an answer on an old connection says against its kind being dropped unseen.
+/// How much an answer on a connection that was idle offsets the evidence that such connections are
+/// dropped silently.
 pub(super) const IDLE_DROP_REFUTED: f64 = 0.25;
-/// Above this share of late answers silence is taken for a jam.
+/// Above this share of late answers, missing answers are attributed to overload.
 const LATE_SHARE: f64 = 0.3;
 
 impl Balancer {
-    /// Whether answers fail to come while those that come are timely: dead machines, connections dropped
-    /// unseen, a class swallowed. In a jam answers come late, and copies would only feed it.
+    /// Whether answers fail to come while those that come are timely: dead machines, silently dropped
+    /// connections, or a class that gets no answers at all. In overload answers come late, and hedged
+    /// requests would make it worse.
     pub(super) fn answers_lost(&self, now: Duration) -> bool {
         self.late_share < LATE_SHARE
             && self.unanswered.read(now, UNANSWERED_DECAY_S) >= UNANSWERED_THRESHOLD
     }
 
-    /// An attempt was overtaken, or is out for far longer than any answer takes.
+    /// Records an attempt that was overtaken by a later one, or has taken far longer than answers do.
     pub(super) fn record_unanswered(&mut self, now: Duration, attempt: Attempt) {
         self.unanswered.set(now, (self.unanswered.read(now, UNANSWERED_DECAY_S) + 1.0).min(UNANSWERED_MAX));
         if attempt.idle.is_zero() {
@@ -49,7 +54,8 @@
         }
     }
 
-    /// Sends a second copy, or where none is allowed the request again, while endpoints are silent.
+    /// While answers are lost, sends a hedged request or, if none is allowed, cancels the attempt to
+    /// retry it.
     pub(super) fn on_overdue(
         &mut self,
         now: Duration,
