--- a/src/net/guard.rs
+++ b/src/net/abort_on_drop.rs
@@ -3,16 +3,16 @@
 use tokio::task::AbortHandle;
 
 /// A task that ends with its holder.
-pub struct Guard(AbortHandle);
+pub struct AbortOnDrop(AbortHandle);
 
-impl Guard {
+impl AbortOnDrop {
     /// Ends this task when dropped.
     pub fn new(task: AbortHandle) -> Self {
-        Guard(task)
+        AbortOnDrop(task)
     }
 }
 
-impl Drop for Guard {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -1,8 +1,8 @@
 //! The admin API: readiness, metrics, drain, and suspending and resuming endpoints. One call per
 //! connection.
 
+use super::abort_on_drop::AbortOnDrop;
 use super::counters::Counters;
-use super::guard::Guard;
 use super::inbound::Inbound;
 use super::manual_ejections::{ManualEjectionError, ManualEjectionStore, ManualEjections, Order, Version};
 use super::message::{Inbox, Input};
@@ -69,7 +69,7 @@
     received: Rc<Cell<bool>>,
     closed: Rc<Cell<bool>>,
     /// Dropping it closes the connection.
-    _task: Guard,
+    _task: AbortOnDrop,
 }
 
 type Reply = Response<Full<Bytes>>;
@@ -175,7 +175,11 @@
             let _ = timeout(CONNECTION_TIMEOUT, this.handle_connection(stream, &flags.0)).await;
             flags.1.set(true);
         });
-        connections.push_back(Connection { received, closed, _task: Guard::new(task.abort_handle()) });
+        connections.push_back(Connection {
+            received,
+            closed,
+            _task: AbortOnDrop::new(task.abort_handle()),
+        });
     }
 
     async fn handle_connection(&self, stream: TcpStream, received: &Cell<bool>) {
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,9 +1,9 @@
 //! The discovery client: fetches the endpoint list and watches it for changes.
 
+use super::abort_on_drop::AbortOnDrop;
 use super::clock::Clock;
 use super::discovery_call::{ANSWER_TIMEOUT, FetchError, WatchEnd, call};
 use super::discovery_health::DiscoveryHealth;
-use super::guard::Guard;
 use super::list_translator::{ListTranslator, ListUpdate};
 use gullpulley::config::{LIST_MOST, List, ListReader, Names};
 use gullpulley::{
@@ -45,7 +45,7 @@
 /// A watch or the call that opens it; dropping it aborts the task.
 struct Watch {
     number: u64,
-    _task: Guard,
+    _task: AbortOnDrop,
 }
 
 /// The discovery client of one process.
@@ -142,11 +142,12 @@
     /// Processes commands. Of several pending calls for a watch, the first that delivers a list cancels the
     /// others; each failure before that is reported in one update, and so is the end of a watch.
     pub async fn run(self: Rc<Self>, mut commands: UnboundedReceiver<DiscoveryCommand>) {
-        let mut maintenance: Option<Guard> = None;
+        let mut maintenance: Option<AbortOnDrop> = None;
         if self.mode == Mode::Push {
             let this = self.clone();
-            maintenance =
-                Some(Guard::new(spawn_local(async move { this.maintain_watch().await }).abort_handle()));
+            maintenance = Some(AbortOnDrop::new(
+                spawn_local(async move { this.maintain_watch().await }).abort_handle(),
+            ));
         }
         while let Some(command) = commands.recv().await {
             let this = self.clone();
@@ -221,7 +222,7 @@
             let wait = this.schedule.borrow_mut().failed(this.started.elapsed(), silent_for, failure);
             this.plan_call(Some(wait));
         });
-        self.watches.borrow_mut().push(Watch { number, _task: Guard::new(task.abort_handle()) });
+        self.watches.borrow_mut().push(Watch { number, _task: AbortOnDrop::new(task.abort_handle()) });
     }
 
     /// In push mode keeps a watch open at all times: the policy never asks for one.
--- a/src/net/discovery_call.rs
+++ b/src/net/discovery_call.rs
@@ -1,7 +1,7 @@
 //! A single call to discovery, with logging and counting, and the reasons for which a call or a watch ends.
 
+use super::abort_on_drop::AbortOnDrop;
 use super::discovery_health::{DiscoveryHealth, Outcome};
-use super::guard::Guard;
 use gullpulley::{DiscoveryFailure, TcpConnection};
 use http_body_util::Empty;
 use hyper::body::{Bytes, Incoming};
@@ -147,7 +147,7 @@
     address: SocketAddr,
     path: &str,
     health: &DiscoveryHealth,
-) -> Result<(Response<Incoming>, Guard), CallError> {
+) -> Result<(Response<Incoming>, AbortOnDrop), CallError> {
     let mut pending = PendingCall { started: Instant::now(), address, ended: false };
     let result = send_call(address, path).await;
     pending.ended = true;
@@ -157,12 +157,15 @@
     result
 }
 
-async fn send_call(address: SocketAddr, path: &str) -> Result<(Response<Incoming>, Guard), CallError> {
+async fn send_call(
+    address: SocketAddr,
+    path: &str,
+) -> Result<(Response<Incoming>, AbortOnDrop), CallError> {
     let connect = timeout(CONNECT_TIMEOUT, TcpConnection::connect(address)).await;
     let connection = connect.map_err(|_| CallError::ConnectTimedOut)?.map_err(CallError::NotConnected)?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(connection)).await?;
     let task = spawn_local(connection);
-    let guard = Guard::new(task.abort_handle());
+    let guard = AbortOnDrop::new(task.abort_handle());
     let request =
         Request::get(path).header(header::HOST, address.to_string()).body(Empty::<Bytes>::new())?;
     let answer = timeout(ANSWER_TIMEOUT, sender.send_request(request)).await;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,7 @@
 //! The sidecar's I/O. This file has start-up, signals and the wiring of the modules; the modules, in an
 //! order in which each depends only on those before it:
 //!
-//! `guard`, `clock`, `start_times`, `list_translator`, `budget`, `persistence`, `discovery_health`, `discovery_call`,
+//! `abort_on_drop`, `clock`, `start_times`, `list_translator`, `budget`, `persistence`, `discovery_health`, `discovery_call`,
 //! `peers`, `counters`, `manual_ejections`, `hot_restart`: tasks, time, lists in the policy's types, limits on sockets
 //! and memory, persisted state, metrics of discovery, calls to it, the fleet, counters, suspended
 //! endpoints, other processes of this sidecar;
@@ -12,6 +12,7 @@
 //! answers;
 //! `control`: the admin API.
 
+mod abort_on_drop;
 mod budget;
 mod clock;
 mod control;
@@ -20,7 +21,6 @@
 mod discovery_call;
 mod discovery_health;
 mod driver;
-mod guard;
 mod hot_restart;
 mod inbound;
 mod list_translator;
--- a/src/net/outbound.rs
+++ b/src/net/outbound.rs
@@ -1,8 +1,8 @@
 //! Connections to endpoints: attempts and probes, and how they end.
 
+use super::abort_on_drop::AbortOnDrop;
 use super::budget::{Budget, Holder, Permit};
 use super::counters::Counters;
-use super::guard::Guard;
 use super::passing::{LARGE_MOST, Payload, Pieces};
 use super::progress::Progress;
 use gullpulley::{EndpointId, LoadField, Outcome, Settings, TcpConnection};
@@ -112,7 +112,7 @@
     opened: Instant,
     idle_since: Instant,
     /// Dropping a link closes its connection, also with an answer still to come.
-    _connection: Guard,
+    _connection: AbortOnDrop,
     _permit: Permit,
 }
 
@@ -354,7 +354,7 @@
             address,
             opened: Instant::now(),
             idle_since: Instant::now(),
-            _connection: Guard::new(task.abort_handle()),
+            _connection: AbortOnDrop::new(task.abort_handle()),
             _permit: permit,
         })
     }
