--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -9,8 +9,8 @@
 use super::log_text::{log_leaving, outcome_name};
 use super::manual_ejections::ManualEjections;
 use super::message::{Answer, Arrival, Content, Inbox, Input};
-use super::open::{Open, Try};
 use super::outbound::{Dispatch, Ended, Outbound};
+use super::pending_request::{Open, Try};
 use gullpulley::{
     Action, AttemptEnded, AttemptNo, Balancer, EndpointId, EndpointState, Event, Membership, Outcome,
     RequestId, TimerToken,
--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -1,15 +1,15 @@
 //! Clients' connections: takes requests, gives final answers, and drains at the end.
 
 use super::budget::{Budget, Holder, Permit};
+use super::client_connection::{FIRST_MOST, Turn};
 use super::counters::{Counters, End};
 use super::message::{Answer, Arrival, Content, Forward, Inbox, Input};
 use super::outbound::{BUFFER_MOST, Outbound};
-use super::passing::{LARGE_MOST, Pieces, Upload};
-use super::phase::Phase;
+use super::process_phase::Phase;
 use super::reply::{PassingAnswer, Reply, ReplyBody, Waiting, plain, say_when};
 use super::request::{Wording, drop_hop_headers, hold};
 use super::stream::ClientStream;
-use super::turn::{FIRST_MOST, Turn};
+use super::streamed_body::{LARGE_MOST, Pieces, Upload};
 use gullpulley::{RequestId, is_local};
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
--- a/src/net/message.rs
+++ b/src/net/message.rs
@@ -3,8 +3,8 @@
 use super::list_translator::ListUpdate;
 use super::manual_ejections::ManualEjections;
 use super::outbound::{Ended, Passing, set_time_left};
-use super::passing::{Payload, Upload};
 use super::progress::Progress;
+use super::streamed_body::{Payload, Upload};
 use gullpulley::{AttemptNo, BalancerStats, EndpointId, RequestId};
 use http_body_util::Full;
 use hyper::body::Bytes;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -5,15 +5,16 @@
 //! `peers`, `counters`, `manual_ejections`, `hot_restart`: tasks, time, lists in the policy's types, limits on sockets
 //! and memory, persisted state, metrics of discovery, calls to it, the fleet, counters, suspended
 //! endpoints, other processes of this sidecar;
-//! `progress`, `passing`: progress of an attempt, streamed bodies;
+//! `progress`, `streamed_body`: progress of an attempt, streamed bodies;
 //! `outbound`, `discovery`: connections to endpoints and to discovery;
-//! `log_text`, `message`, `open`, `driver`: turn I/O into the policy's events, and carry out its actions;
-//! `phase`, `stream`, `request`, `turn`, `reply`, `inbound`: phase of this process, client connections, requests and
+//! `log_text`, `message`, `pending_request`, `driver`: turn I/O into the policy's events, and carry out its actions;
+//! `process_phase`, `stream`, `request`, `client_connection`, `reply`, `inbound`: phase of this process, client connections, requests and
 //! answers;
 //! `control`: the admin API.
 
 mod abort_on_drop;
 mod budget;
+mod client_connection;
 mod clock;
 mod control;
 mod counters;
@@ -27,18 +28,17 @@
 mod log_text;
 mod manual_ejections;
 mod message;
-mod open;
 mod outbound;
-mod passing;
 mod peers;
+mod pending_request;
 mod persistence;
-mod phase;
+mod process_phase;
 mod progress;
 mod reply;
 mod request;
 mod start_times;
 mod stream;
-mod turn;
+mod streamed_body;
 
 use crate::logging::LogHandle;
 use budget::Budget;
--- a/src/net/outbound.rs
+++ b/src/net/outbound.rs
@@ -3,8 +3,8 @@
 use super::abort_on_drop::AbortOnDrop;
 use super::budget::{Budget, Holder, Permit};
 use super::counters::Counters;
-use super::passing::{LARGE_MOST, Payload, Pieces};
 use super::progress::Progress;
+use super::streamed_body::{LARGE_MOST, Payload, Pieces};
 use gullpulley::{EndpointId, LoadField, Outcome, Settings, TcpConnection};
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Bytes, Incoming};
--- a/src/net/reply.rs
+++ b/src/net/reply.rs
@@ -1,11 +1,11 @@
 //! Answers to clients, held or passing, and the requests that wait for them.
 
 use super::budget::Permit;
+use super::client_connection::Turn;
 use super::counters::{End, PendingRequest};
 use super::message::{Inbox, Input};
 use super::outbound::Passing;
-use super::passing::PassError;
-use super::turn::Turn;
+use super::streamed_body::PassError;
 use gullpulley::RequestId;
 use http_body_util::Full;
 use hyper::body::{Body, Bytes, Frame, SizeHint};
