--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -30,7 +30,7 @@
 const SUMMARY: Duration = Duration::from_secs(10);
 
 /// What the driver works with.
-pub struct Around {
+pub struct DriverContext {
     /// Connections to endpoints.
     pub outbound: Rc<Outbound>,
     /// For the names of endpoints.
@@ -42,7 +42,7 @@
     /// The counts of the process.
     pub counters: Rc<Counters>,
     /// Told once requests may be sent by the endpoint list.
-    pub list_holds: watch::Sender<bool>,
+    pub list_usable: watch::Sender<bool>,
 }
 
 /// Owns the module, its timers, and the requests and attempts in flight.
@@ -61,12 +61,12 @@
     summary_at: Instant,
     /// What the operators have said of endpoints.
     standing: ManualEjections,
-    around: Around,
+    context: DriverContext,
 }
 
 impl Driver {
     /// A driver of this module.
-    pub fn new(balancer: Balancer, clock: Clock, max_attempts: u32, around: Around) -> Self {
+    pub fn new(balancer: Balancer, clock: Clock, max_attempts: u32, context: DriverContext) -> Self {
         Driver {
             balancer,
             clock,
@@ -79,7 +79,7 @@
             dropped: 0,
             summary_at: Instant::now() + SUMMARY,
             standing: ManualEjections::default(),
-            around,
+            context,
         }
     }
 
@@ -115,7 +115,7 @@
 
     /// What a fault repeats is counted, and told here; what did not occur is left out.
     fn sum_up(&mut self) {
-        let dropped = self.around.counters.dropped_lines();
+        let dropped = self.context.counters.dropped_lines();
         let lost = dropped - std::mem::replace(&mut self.dropped, dropped);
         if lost > 0 {
             warn!(lines = lost, "the log was not read, and lines were dropped");
@@ -156,8 +156,10 @@
             }
             Input::List(news) => {
                 self.list(news);
-                let holds = self.balancer.list_holds(self.clock.now());
-                self.around.list_holds.send_if_modified(|told| std::mem::replace(told, holds) != holds);
+                let usable = self.balancer.list_holds(self.clock.now());
+                self.context
+                    .list_usable
+                    .send_if_modified(|before| std::mem::replace(before, usable) != usable);
             }
             // Who asked may have gone by now.
             Input::Known(uid, to) => drop(to.send(self.knows(&uid))),
@@ -241,7 +243,7 @@
         );
         let (spent, rejected) = (open.forward.body.spent(), rejected || open.forward.body.faulty());
         if outcome == Outcome::TimedOut {
-            self.around.outbound.close_unheard(endpoint, sent);
+            self.context.outbound.close_unheard(endpoint, sent);
         }
         if rejected {
             // The request's own fault says nothing of the endpoint; sent again it would spend what honest ones need.
@@ -278,7 +280,8 @@
 
     /// Somebody has this uid: it is listed, or was taken out and can be called back.
     fn knows(&self, uid: &str) -> bool {
-        self.standing.suspended.contains(uid) || self.addresses.contains_key(&self.around.discovery.id(uid))
+        self.standing.suspended.contains(uid)
+            || self.addresses.contains_key(&self.context.discovery.id(uid))
     }
 
     /// Tells the module what the operators have changed since the standing before.
@@ -286,14 +289,14 @@
         let before = std::mem::replace(&mut self.standing, standing.clone());
         for uid in standing.suspended.difference(&before.suspended) {
             info!(endpoint = uid, "operators: {uid} is suspended");
-            let id = self.around.discovery.id(uid);
-            self.around.outbound.bar(id);
+            let id = self.context.discovery.id(uid);
+            self.context.outbound.bar(id);
             self.handle(Event::Suspend(id));
         }
         for (uid, _) in standing.resumed.iter().filter(|(uid, at)| before.resumed.get(*uid) != Some(at)) {
             info!(endpoint = uid, "operators: {uid} is resumed");
             // Counted from when this process learns of it: its wall clock may have been stepped since.
-            let (endpoint, at) = (self.around.discovery.id(uid), self.clock.now());
+            let (endpoint, at) = (self.context.discovery.id(uid), self.clock.now());
             self.handle(Event::Resume { endpoint, at });
         }
     }
@@ -302,7 +305,7 @@
         for (id, address) in &news.addresses {
             let before = self.addresses.insert(*id, *address);
             if before.is_some_and(|before| before != *address) {
-                self.around.outbound.close_idle(*id);
+                self.context.outbound.close_idle(*id);
             }
         }
         let (whole, entries) = match &news.membership {
@@ -319,15 +322,15 @@
         let mut left: [Vec<String>; 2] = Default::default();
         // Nothing new goes to these.
         for entry in entries.iter().filter(|entry| entry.state != EndpointState::Ready) {
-            self.around.outbound.bar(entry.id);
+            self.context.outbound.bar(entry.id);
             let gone = entry.state == EndpointState::Gone;
-            left[usize::from(gone)].push(self.around.discovery.uid(entry.id));
+            left[usize::from(gone)].push(self.context.discovery.uid(entry.id));
             if gone {
                 self.addresses.remove(&entry.id);
             }
         }
         if whole {
-            let outbound = &self.around.outbound;
+            let outbound = &self.context.outbound;
             let named: HashSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
             self.addresses.retain(|id, _| {
                 let listed = named.contains(id);
@@ -352,7 +355,7 @@
             };
             let began = Instant::now();
             self.balancer.handle(self.clock.at(began), event, &mut actions);
-            self.around.counters.record_decision(began.elapsed());
+            self.context.counters.record_decision(began.elapsed());
             for action in actions.drain(..) {
                 self.carry_out(action);
             }
@@ -386,10 +389,10 @@
                 self.timers.push(Reverse((Instant::now() + after, token.0)));
             }
             // These fail only while the process ends.
-            Action::Watch(on) => drop(self.around.calls.send(DiscoveryCommand::Watch(on))),
-            Action::FetchList => drop(self.around.calls.send(DiscoveryCommand::Fetch)),
+            Action::Watch(on) => drop(self.context.calls.send(DiscoveryCommand::Watch(on))),
+            Action::FetchList => drop(self.context.calls.send(DiscoveryCommand::Fetch)),
             Action::Probe { endpoint } => self.probe(endpoint),
-            Action::CloseIdle { endpoint } => self.around.outbound.close_idle(endpoint),
+            Action::CloseIdle { endpoint } => self.context.outbound.close_idle(endpoint),
             Action::Log(text) => info!("module: {}", text.replace(['\n', '\r'], " ")),
         }
     }
@@ -407,7 +410,7 @@
         let address = self.addresses.get(&endpoint).copied();
         let until = open.deadline.min(now + timeout);
         let moot = open.answer.is_none() || open.tries.len() >= self.max_attempts || until <= now;
-        let progress = Rc::new(self.around.outbound.progress());
+        let progress = Rc::new(self.context.outbound.progress());
         let Some(address) = address.filter(|_| !moot) else {
             open.tries.push(Try { endpoint, sent: now, cancel: None, progress });
             self.due.push_back(Event::AttemptEnded(AttemptEnded {
@@ -424,7 +427,7 @@
         debug!(
             request = open.forward.id(),
             attempt = attempt.0,
-            endpoint = self.around.discovery.uid(endpoint),
+            endpoint = self.context.discovery.uid(endpoint),
             "sent"
         );
         let (cancel, mut cancelled) = oneshot::channel();
@@ -435,7 +438,7 @@
             Content::Held(_) => None,
             Content::Passed(upload) => Some(upload.clone()),
         };
-        let (outbound, inbox) = (self.around.outbound.clone(), self.around.inbox.clone());
+        let (outbound, inbox) = (self.context.outbound.clone(), self.context.inbox.clone());
         let write_by = write_within.map(|within| now + within);
         let may_time_out = upload.is_none();
         let told = may_time_out.then_some(until);
@@ -467,7 +470,7 @@
             return self.due.push_back(Event::ProbeEnded { endpoint, outcome, elapsed, report });
         };
         let (outbound, inbox, sent) =
-            (self.around.outbound.clone(), self.around.inbox.clone(), Instant::now());
+            (self.context.outbound.clone(), self.context.inbox.clone(), Instant::now());
         spawn_local(async move {
             let ended = outbound.probe(endpoint, address).await;
             let _ = inbox.send(Input::ProbeEnded(endpoint, ended, sent.elapsed()));
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -47,7 +47,7 @@
 use counters::Counters;
 use discovery::{Discovery, DiscoveryCommand};
 use discovery_health::DiscoveryHealth;
-use driver::{Around, Driver};
+use driver::{Driver, DriverContext};
 use gullpulley::config::{
     Config, ConfigError, DOOR_RESERVE, Difference, Fault, Named, Vars, differences, keys,
 };
@@ -192,22 +192,22 @@
     let attempts = settings.limits.max_attempts;
     let (rules, discovery_mode) = (settings.rules.clone(), settings.discovery);
     spawn_local(reload.run(hup, commands.clone()));
-    let around = Around {
+    let context = DriverContext {
         outbound: outbound.clone(),
         discovery: discovery.clone(),
         calls: commands,
         inbox: inbox.clone(),
         counters: counters.clone(),
-        list_holds: watch::Sender::new(false),
+        list_usable: watch::Sender::new(false),
     };
-    let mut list_holds = around.list_holds.subscribe();
-    let driver = Driver::new(balancer, clock, attempts, around);
+    let mut list_usable = context.list_usable.subscribe();
+    let driver = Driver::new(balancer, clock, attempts, context);
     let mut driver = spawn_local(driver.run(inputs));
     spawn_local(discovery.clone().run(received_commands));
     spawn_local(outbound.clone().sweep());
     let startup = async {
         // The predecessor or other sidecars serve meanwhile: the cached list may be stale.
-        if timeout(LIST_WAIT, list_holds.wait_for(|holds| *holds)).await.is_err() {
+        if timeout(LIST_WAIT, list_usable.wait_for(|usable| *usable)).await.is_err() {
             warn!("no endpoint list in {LIST_WAIT:?}: requests are queued until discovery tells one");
         }
         if let Some(sharing) = sharing {
