--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -7,7 +7,7 @@
 use super::outbound::{BUFFER_MOST, Outbound};
 use super::process_phase::Phase;
 use super::reply::{PassingAnswer, Reply, ReplyBody, Waiting, plain, say_when};
-use super::request::{Wording, drop_hop_headers, hold};
+use super::request::{RequestParser, drop_hop_headers, hold};
 use super::stream::ClientStream;
 use super::streamed_body::{LARGE_MOST, Pieces, Upload};
 use gullpulley::{RequestId, is_local};
@@ -72,7 +72,7 @@
 
 /// What all clients' connections share.
 pub struct Inbound {
-    wording: Wording,
+    parser: RequestParser,
     budget: Rc<Budget>,
     counters: Rc<Counters>,
     outbound: Rc<Outbound>,
@@ -94,14 +94,14 @@
 impl Inbound {
     /// No clients yet.
     pub fn new(
-        wording: Wording,
+        parser: RequestParser,
         budget: Rc<Budget>,
         counters: Rc<Counters>,
         outbound: Rc<Outbound>,
         inbox: Inbox,
     ) -> Rc<Self> {
         Rc::new(Inbound {
-            wording,
+            parser,
             budget,
             counters,
             outbound,
@@ -146,7 +146,7 @@
         info!(clients = self.budget.clients(), "draining");
         self.phase.set(Phase::Draining);
         ending();
-        let longest = self.wording.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
+        let longest = self.parser.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
         let until = asked + longest.min(DEADLINE_MOST) + DRAIN_SLACK;
         // What still waits in the backlog then counts as taken: closing the listener would reset it.
         while Instant::now() < until && !self.succeeded.get() {
@@ -348,7 +348,7 @@
                 if self.takes_clients() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
             plain(status, "")
         } else {
-            let class = self.wording.class(request.uri());
+            let class = self.parser.class(request.uri());
             let named = enabled!(Level::DEBUG).then(|| request.headers().get("x-request-id").cloned());
             let served = if shed {
                 Err((StatusCode::SERVICE_UNAVAILABLE, "too many connections"))
@@ -383,8 +383,8 @@
     /// A refusal of our own: there is room once the first silent connections have been closed.
     fn no_room(&self, text: &'static str) -> Reply {
         let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, text);
-        if self.wording.settings.limits.retry_after {
-            say_when(&mut reply, FIRST_MOST.min(self.wording.settings.limits.max_retry_after));
+        if self.parser.settings.limits.retry_after {
+            say_when(&mut reply, FIRST_MOST.min(self.parser.settings.limits.max_retry_after));
         }
         reply
     }
@@ -398,7 +398,7 @@
         let memory = self.budget.take(Holder::Request).ok_or(busy)?;
         let (mut head, body) = request.into_parts();
         // What is no proper request is told so before its body, of which there may be much.
-        let (mut request, time) = self.wording.read(&head.method, &head.uri, &head.headers)?;
+        let (mut request, time) = self.parser.parse(&head.method, &head.uri, &head.headers)?;
         if body.size_hint().lower() > LARGE_MOST {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "body too long"));
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -59,7 +59,7 @@
 use outbound::Outbound;
 use peers::Peers;
 use persistence::Persistence;
-use request::Wording;
+use request::RequestParser;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -161,7 +161,7 @@
     let counters = Counters::new(&classes, log, health.clone(), persistence, peers.clone());
     let outbound = Outbound::new(&settings, budget.clone(), counters.clone());
     let inbound = Inbound::new(
-        Wording { settings: settings.clone(), classes, tenants },
+        RequestParser { settings: settings.clone(), classes, tenants },
         budget.clone(),
         counters.clone(),
         outbound.clone(),
--- a/src/net/request.rs
+++ b/src/net/request.rs
@@ -13,7 +13,7 @@
 const BODY_PACE: f64 = 32_000.0;
 
 /// What requests may say: the settings, and the names in them.
-pub struct Wording {
+pub struct RequestParser {
     /// The module's settings.
     pub settings: Settings,
     /// Classes, the first part of a request's path.
@@ -22,7 +22,7 @@
     pub tenants: Vec<String>,
 }
 
-impl Wording {
+impl RequestParser {
     /// The class that a path names.
     pub fn class(&self, uri: &hyper::Uri) -> Option<usize> {
         let name = uri.path().split('/').nth(1).unwrap_or_default();
@@ -30,7 +30,7 @@
     }
 
     /// What the module is to know of a request, and the client's time.
-    pub fn read(
+    pub fn parse(
         &self,
         method: &Method,
         uri: &hyper::Uri,
