--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -252,7 +252,7 @@
 
     async fn handle_order(&self, uid: &str, order: Order) -> Reply {
         let _lock = self.order_lock.lock().await;
-        if self.ask(|to| Input::Known(uid.to_owned(), to)).await != Some(true) {
+        if self.ask(|to| Input::IsKnown(uid.to_owned(), to)).await != Some(true) {
             return text(StatusCode::NOT_FOUND, "no endpoint has this id\n");
         }
         let (ejections, order_uid) = (self.ejections.clone(), uid.to_owned());
@@ -277,7 +277,7 @@
 
     /// Puts manual ejections in force.
     async fn apply(&self, updated: ManualEjections) {
-        let _ = self.ask(|done| Input::Standing(updated, done)).await; // fails only while the process ends
+        let _ = self.ask(|done| Input::ManualEjections(updated, done)).await; // fails only while the process ends
     }
 
     /// Sends an input to the driver and waits for its answer; none while the process ends.
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -146,15 +146,15 @@
 
     fn take(&mut self, input: Input) {
         match input {
-            Input::Arrived(arrival) => self.arrived(*arrival),
-            Input::Whole(id, deadline) => self.whole(id, deadline),
+            Input::Request(arrival) => self.arrived(*arrival),
+            Input::BodyComplete(id, deadline) => self.whole(id, deadline),
             Input::ClientGone(id) => self.gone(id),
             Input::AttemptEnded(id, attempt, ended) => self.attempt_ended(id, attempt, ended),
             Input::ProbeEnded(endpoint, Ended { outcome, report, connected_for, .. }, elapsed) => {
                 self.answered(endpoint, connected_for);
                 self.handle(Event::ProbeEnded { endpoint, outcome, elapsed, report });
             }
-            Input::List(news) => {
+            Input::ListUpdate(news) => {
                 self.list(news);
                 let usable = self.balancer.list_holds(self.clock.now());
                 self.context
@@ -162,21 +162,21 @@
                     .send_if_modified(|before| std::mem::replace(before, usable) != usable);
             }
             // Who asked may have gone by now.
-            Input::Known(uid, to) => drop(to.send(self.knows(&uid))),
-            Input::Standing(standing, done) => {
+            Input::IsKnown(uid, to) => drop(to.send(self.knows(&uid))),
+            Input::ManualEjections(standing, done) => {
                 self.follow(standing);
                 let _ = done.send(());
             }
-            Input::Shared(processes) => {
+            Input::SidecarProcesses(processes) => {
                 info!("processes of this sidecar: {processes}");
                 self.handle(Event::ProcessCountChanged { processes: processes as u32 });
             }
-            Input::Balancers(living) => {
+            Input::BalancerCount(living) => {
                 info!("balancers that share the work: {living}");
                 self.handle(Event::BalancerCountChanged { balancers: living });
             }
             Input::Stats(to) => drop(to.send(self.balancer.stats(self.clock.now()))),
-            Input::GiveUp => {
+            Input::FailPending => {
                 let open = self.requests.iter().filter(|(_, open)| open.answer.is_some());
                 let open: Vec<RequestId> = open.map(|(id, _)| *id).collect();
                 warn!("giving up {} requests", open.len());
--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -161,7 +161,7 @@
         self.close.send_replace(());
         if timeout_at(until, self.all_gone()).await.is_err() {
             self.phase.set(Phase::GivenUp);
-            let _ = self.inbox.send(Input::GiveUp);
+            let _ = self.inbox.send(Input::FailPending);
             let _ = timeout(LAST_ANSWERS, self.all_gone()).await;
         }
         info!(ms = asked.elapsed().as_millis() as u64, "drained");
@@ -435,7 +435,7 @@
                 let pieces = Pieces::of_client(first, rest);
                 let inbox = self.inbox.clone();
                 let upload = Upload::new(pieces, ours, move |deadline| {
-                    let _ = inbox.send(Input::Whole(id, deadline)); // fails only while the process ends
+                    let _ = inbox.send(Input::BodyComplete(id, deadline)); // fails only while the process ends
                 });
                 passed = Some(upload.clone());
                 (Content::Passed(upload), came + UPLOAD_MOST, came + UPLOAD_MOST)
@@ -443,7 +443,7 @@
         };
         let forward = Forward { method: head.method, uri: head.uri, headers: head.headers, body };
         let arrival = Arrival { request, deadline, forward, answer };
-        let _ = self.inbox.send(Input::Arrived(Box::new(arrival)));
+        let _ = self.inbox.send(Input::Request(Box::new(arrival)));
         // Where the module were to forget a request, its client would still be told in time.
         let answer = timeout_at(latest, answered).await;
         waiting.answered = answer.is_ok();
--- a/src/net/message.rs
+++ b/src/net/message.rs
@@ -23,9 +23,9 @@
 /// Something that happened on a socket.
 pub enum Input {
     /// A request has come whole.
-    Arrived(Box<Arrival>),
+    Request(Box<Arrival>),
     /// The body of a request that was passing has gone on whole; its answer must be on its way by then.
-    Whole(RequestId, Instant),
+    BodyComplete(RequestId, Instant),
     /// Its client has gone.
     ClientGone(RequestId),
     /// An attempt ended.
@@ -33,19 +33,19 @@
     /// A probe ended; it took so long.
     ProbeEnded(EndpointId, Ended, Duration),
     /// News from discovery.
-    List(ListUpdate),
+    ListUpdate(ListUpdate),
     /// The operators ask whether anybody has this uid.
-    Known(String, oneshot::Sender<bool>),
+    IsKnown(String, oneshot::Sender<bool>),
     /// What the operators have said of endpoints, as it stands now; confirmed once it is in force.
-    Standing(ManualEjections, oneshot::Sender<()>),
+    ManualEjections(ManualEjections, oneshot::Sender<()>),
     /// So many processes are this sidecar together.
-    Shared(usize),
+    SidecarProcesses(usize),
     /// So many balancers share the work.
-    Balancers(u32),
+    BalancerCount(u32),
     /// The operators ask how many endpoints there are.
     Stats(oneshot::Sender<BalancerStats>),
     /// The process must end: fail what is still open.
-    GiveUp,
+    FailPending,
 }
 
 /// A request as it came in.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -145,7 +145,7 @@
     if let Some(peers) = &peers {
         let inbox = inbox.clone();
         // Fails only while the process ends.
-        spawn_local(peers.clone().follow(move |living| drop(inbox.send(Input::Balancers(living)))));
+        spawn_local(peers.clone().follow(move |living| drop(inbox.send(Input::BalancerCount(living)))));
         let (peers, persistence) = (peers.clone(), persistence.clone());
         spawn_local(async move {
             // An incarnation is not announced before it is durable.
@@ -169,12 +169,12 @@
     );
     let updates = inbox.clone();
     let discovery = Discovery::new(discovery, &settings, names, seed, health, clock, move |update| {
-        let _ = updates.send(Input::List(update)); // fails only while the process ends
+        let _ = updates.send(Input::ListUpdate(update)); // fails only while the process ends
     });
     let ejections = ManualEjectionStore::new(&std::env::temp_dir(), &name);
     if control.is_some() {
         // Before the first list, hence before the first attempt.
-        let _ = inbox.send(Input::Standing(read_ejections(&ejections), oneshot::channel().0));
+        let _ = inbox.send(Input::ManualEjections(read_ejections(&ejections), oneshot::channel().0));
     }
     let sharing = control.and_then(|_| register_process(&name)).map(|registration| ProcessSharing {
         registration,
@@ -188,7 +188,7 @@
         sharing.refresh();
     }
     // The cached list is applied before the first client is accepted.
-    let _ = inbox.send(Input::List(discovery.cached(known)));
+    let _ = inbox.send(Input::ListUpdate(discovery.cached(known)));
     let attempts = settings.limits.max_attempts;
     let (rules, discovery_mode) = (settings.rules.clone(), settings.discovery);
     spawn_local(reload.run(hup, commands.clone()));
@@ -310,7 +310,7 @@
     fn refresh(&self) -> usize {
         let others = self.registration.count_others();
         if self.budget.share(others + 1) {
-            let _ = self.inbox.send(Input::Shared(others + 1));
+            let _ = self.inbox.send(Input::SidecarProcesses(others + 1));
             self.outbound.shrink();
         }
         others
