--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -218,7 +218,7 @@
             return reply;
         }
         match resource {
-            Resource::Ready if self.inbound.takes_clients() => text(StatusCode::OK, "ready\n"),
+            Resource::Ready if self.inbound.is_serving() => text(StatusCode::OK, "ready\n"),
             Resource::Ready => text(StatusCode::SERVICE_UNAVAILABLE, "takes no clients\n"),
             Resource::Metrics => match self.ask(Input::Stats).await {
                 Some(stats) => self.metrics(stats, uri.query()),
--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -84,7 +84,7 @@
     /// Told when the operators want it to end.
     asked_to_drain: Notify,
     /// Another process of this sidecar takes clients too.
-    succeeded: Cell<bool>,
+    other_process_serving: Cell<bool>,
     /// Accepting fails; said once in the log until it works again.
     failing: Cell<bool>,
     /// Each change says that connections are to make room, or while draining, to end.
@@ -110,14 +110,14 @@
             ids: Rc::default(),
             phase: Cell::new(Phase::Starting),
             asked_to_drain: Notify::new(),
-            succeeded: Cell::new(false),
+            other_process_serving: Cell::new(false),
             failing: Cell::new(false),
             close: watch::Sender::new(()),
         })
     }
 
     /// Whether this process takes clients.
-    pub fn takes_clients(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.phase.get() == Phase::Serving
     }
 
@@ -127,8 +127,8 @@
     }
 
     /// Whether another process of this sidecar takes clients too.
-    pub fn succeeded(&self, by_another: bool) {
-        self.succeeded.set(by_another);
+    pub fn set_other_process_serving(&self, serving: bool) {
+        self.other_process_serving.set(serving);
     }
 
     /// Serves until told to end, then drains: all that the kernel has accepted is answered.
@@ -149,7 +149,7 @@
         let longest = self.parser.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
         let until = asked + longest.min(DEADLINE_MOST) + DRAIN_SLACK;
         // What still waits in the backlog then counts as taken: closing the listener would reset it.
-        while Instant::now() < until && !self.succeeded.get() {
+        while Instant::now() < until && !self.other_process_serving.get() {
             let wait = (asked + DRAIN_ACCEPT).max(Instant::now() + BACKLOG_EMPTY);
             if timeout_at(wait, self.accept(&listener)).await.is_err() {
                 break;
@@ -344,8 +344,7 @@
         turn.busy.set(true);
         let asks_ready = request.uri().path() == "/-/ready";
         let mut reply = if asks_ready {
-            let status =
-                if self.takes_clients() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+            let status = if self.is_serving() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
             plain(status, "")
         } else {
             let class = self.parser.class(request.uri());
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -319,7 +319,7 @@
     async fn run(self) {
         loop {
             sleep(PROCESS_CHECK_INTERVAL).await;
-            self.inbound.succeeded(self.refresh() > 0);
+            self.inbound.set_other_process_serving(self.refresh() > 0);
         }
     }
 }
