--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -4,7 +4,7 @@
 use super::client_connection::{FIRST_MOST, Turn};
 use super::counters::{Counters, End};
 use super::message::{Answer, Arrival, Content, Forward, Inbox, Input};
-use super::outbound::{BUFFER_MOST, Outbound};
+use super::outbound::{MAX_CONNECTION_BUFFER, Outbound};
 use super::process_phase::Phase;
 use super::reply::{PassingAnswer, Reply, ReplyBody, Waiting, plain, say_when};
 use super::request::{RequestParser, drop_hop_headers, hold};
@@ -286,7 +286,7 @@
             .timer(TokioTimer::new())
             .header_read_timeout(HEAD_MOST)
             .keep_alive(!shed)
-            .max_buf_size(BUFFER_MOST)
+            .max_buf_size(MAX_CONNECTION_BUFFER)
             .serve_connection(TokioIo::new(stream.clone()), service);
         let left = stream.left(|| turn.busy.get());
         tokio::pin!(connection, left);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -311,7 +311,7 @@
         let others = self.registration.count_others();
         if self.budget.share(others + 1) {
             let _ = self.inbox.send(Input::SidecarProcesses(others + 1));
-            self.outbound.shrink();
+            self.outbound.close_idle_over_budget();
         }
         others
     }
--- a/src/net/outbound.rs
+++ b/src/net/outbound.rs
@@ -21,9 +21,9 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 /// A body or an answer up to this is held whole; a longer one passes through.
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
 /// Buffer of a connection, either way; also bounds a message's head.
-pub const BUFFER_MOST: usize = 64 * 1024;
+pub const MAX_CONNECTION_BUFFER: usize = 64 * 1024;
 /// Part of the endpoints' idle time after which we close a connection ourselves: what is written to
 /// one that the endpoint is just closing ends as a reset, and an unsafe request is then lost for good.
 const IDLE_PART: f64 = 0.7;
@@ -296,7 +296,7 @@
     }
 
     /// Closes idle connections until no more sockets are held than there is a part for.
-    pub fn shrink(&self) {
+    pub fn close_idle_over_budget(&self) {
         while self.budget.over_limit() && self.close_oldest_idle() {}
     }
 
@@ -346,7 +346,7 @@
         let until = by.map_or(until, |by| by.min(until));
         let connection = timeout_at(until, TcpConnection::connect(address)).await.ok()?.ok()?;
         let connection = TokioIo::new(connection);
-        let handshake = http1::Builder::new().max_buf_size(BUFFER_MOST).handshake(connection);
+        let handshake = http1::Builder::new().max_buf_size(MAX_CONNECTION_BUFFER).handshake(connection);
         let (sender, connection) = handshake.await.ok()?;
         let task = spawn_local(connection);
         Some(Link {
@@ -389,7 +389,7 @@
     if size.lower() > LARGE_MOST {
         return None; // no endpoint gives so much: what announces it is spoilt
     }
-    if size.lower() > BODY_MOST as u64 {
+    if size.lower() > MAX_BUFFERED_BODY as u64 {
         return Some(Held::Large(Pieces::of_endpoint(Bytes::new(), body)));
     }
     let began = Instant::now();
@@ -403,7 +403,7 @@
             Err(_) if until < gap_ends => break,
             Err(_) => return None,
         }
-        if text.len() > BODY_MOST {
+        if text.len() > MAX_BUFFERED_BODY {
             break;
         }
     }
--- a/src/net/request.rs
+++ b/src/net/request.rs
@@ -1,6 +1,6 @@
 //! Requests as clients word them: what the module is to know of one, its body, and the headers that go on.
 
-use super::outbound::BODY_MOST;
+use super::outbound::MAX_BUFFERED_BODY;
 use gullpulley::{ClassId, RequestId, Semantics, Settings, TenantId};
 use http_body_util::BodyExt;
 use hyper::body::{Bytes, Incoming};
@@ -90,7 +90,7 @@
     lag_until: Instant,
 ) -> Result<(Bytes, Option<Incoming>), (StatusCode, &'static str)> {
     let mut text = Vec::new();
-    while text.len() <= BODY_MOST {
+    while text.len() <= MAX_BUFFERED_BODY {
         let until = lag_until + Duration::from_secs_f64(text.len() as f64 / BODY_PACE);
         match timeout_at(until, body.frame()).await {
             Ok(Some(Ok(frame))) => text.extend_from_slice(frame.data_ref().map_or(&[][..], |data| data)),
