--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -1,6 +1,7 @@
-//! Drives the module: turns what happens on the sockets into its events, and carries out its
-//! actions. It decides nothing, but keeps what must hold whatever is decided: one final answer a
-//! request, no attempt beyond the limit or the deadline, nothing sent for what is finished.
+//! Connects the policy to the sockets: turns what happens there into the policy's events, and carries out
+//! its actions. It makes no decisions, but enforces what must hold whatever the policy decides: one final
+//! answer per request, no attempt beyond the limit or the deadline, and nothing sent for a finished
+//! request.
 
 use super::clock::Clock;
 use super::counters::Counters;
@@ -10,7 +11,7 @@
 use super::manual_ejections::ManualEjections;
 use super::message::{Answer, Arrival, Content, Inbox, Input};
 use super::outbound::{Dispatch, Ended, Outbound};
-use super::pending_request::{Open, Try};
+use super::pending_request::{Attempt, PendingRequest};
 use gullpulley::{
     Action, AttemptEnded, AttemptNo, Balancer, EndpointId, EndpointState, Event, Membership, Outcome,
     RequestId, TimerToken,
@@ -26,46 +27,46 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::{debug, info, warn};
 
-/// Unusual outcomes are summed up in the log this often.
-const SUMMARY: Duration = Duration::from_secs(10);
+/// Interval of the log line that sums up unusual outcomes.
+const SUMMARY_INTERVAL: Duration = Duration::from_secs(10);
 
 /// What the driver works with.
 pub struct DriverContext {
     /// Connections to endpoints.
     pub outbound: Rc<Outbound>,
-    /// For the names of endpoints.
+    /// Resolves endpoint uids to ids and back.
     pub discovery: Rc<Discovery>,
-    /// What discovery is asked.
+    /// Calls that the discovery task is to make.
     pub calls: UnboundedSender<DiscoveryCommand>,
-    /// Where attempts report.
+    /// Where attempts and probes report their ends.
     pub inbox: Inbox,
-    /// The counts of the process.
+    /// The metrics of the process.
     pub counters: Rc<Counters>,
-    /// Told once requests may be sent by the endpoint list.
+    /// Whether the lease on the endpoint list allows requests to be sent.
     pub list_usable: watch::Sender<bool>,
 }
 
-/// Owns the module, its timers, and the requests and attempts in flight.
+/// Owns the policy, its timers, and the requests and attempts in flight.
 pub struct Driver {
     balancer: Balancer,
     clock: Clock,
     max_attempts: usize,
-    requests: HashMap<RequestId, Open>,
+    requests: HashMap<RequestId, PendingRequest>,
     addresses: HashMap<EndpointId, SocketAddr>,
     timers: BinaryHeap<Reverse<(Instant, u64)>>,
-    /// Events that the driver's own doings brought about.
-    due: VecDeque<Event>,
-    unusual: HashMap<&'static str, u64>,
-    /// Lines of the log that had been dropped by the last summary.
-    dropped: u64,
-    summary_at: Instant,
-    /// What the operators have said of endpoints.
-    standing: ManualEjections,
+    /// Events that result from carrying out actions, and are still to be handled.
+    pending_events: VecDeque<Event>,
+    unusual_outcomes: HashMap<&'static str, u64>,
+    /// Log lines that had been dropped at the time of the last summary.
+    dropped_lines: u64,
+    next_summary_at: Instant,
+    /// Manual ejections and resumptions.
+    manual_ejections: ManualEjections,
     context: DriverContext,
 }
 
 impl Driver {
-    /// A driver of this module.
+    /// A driver of this policy.
     pub fn new(balancer: Balancer, clock: Clock, max_attempts: u32, context: DriverContext) -> Self {
         Driver {
             balancer,
@@ -74,192 +75,199 @@
             requests: HashMap::new(),
             addresses: HashMap::new(),
             timers: BinaryHeap::new(),
-            due: VecDeque::new(),
-            unusual: HashMap::new(),
-            dropped: 0,
-            summary_at: Instant::now() + SUMMARY,
-            standing: ManualEjections::default(),
+            pending_events: VecDeque::new(),
+            unusual_outcomes: HashMap::new(),
+            dropped_lines: 0,
+            next_summary_at: Instant::now() + SUMMARY_INTERVAL,
+            manual_ejections: ManualEjections::default(),
             context,
         }
     }
 
-    /// Runs until nothing can report any more.
+    /// Runs until all senders of inputs are gone.
     pub async fn run(mut self, mut inputs: UnboundedReceiver<Input>) {
         loop {
-            let next = self.timers.peek().map_or(self.summary_at, |Reverse((at, _))| *at);
+            let next = self.timers.peek().map_or(self.next_summary_at, |Reverse((at, _))| *at);
             tokio::select! {
                 biased;
                 input = inputs.recv() => match input {
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle_input(input),
                     None => return,
                 },
-                () = sleep_until(next.min(self.summary_at)) => {}
+                () = sleep_until(next.min(self.next_summary_at)) => {}
             }
-            self.fire();
+            self.fire_due_timers();
         }
     }
 
-    fn fire(&mut self) {
+    fn fire_due_timers(&mut self) {
         let now = Instant::now();
         while let Some(&Reverse((at, token))) = self.timers.peek()
             && at <= now
         {
             self.timers.pop();
-            self.handle(Event::Timer(TimerToken(token)));
+            self.handle_event(Event::Timer(TimerToken(token)));
         }
-        if now >= self.summary_at {
-            self.summary_at = now + SUMMARY;
-            self.sum_up();
+        if now >= self.next_summary_at {
+            self.next_summary_at = now + SUMMARY_INTERVAL;
+            self.log_summary();
         }
     }
 
-    /// What a fault repeats is counted, and told here; what did not occur is left out.
-    fn sum_up(&mut self) {
+    /// Logs repeated faults as counts rather than one line each; outcomes that did not occur are left out.
+    fn log_summary(&mut self) {
         let dropped = self.context.counters.dropped_lines();
-        let lost = dropped - std::mem::replace(&mut self.dropped, dropped);
+        let lost = dropped - std::mem::replace(&mut self.dropped_lines, dropped);
         if lost > 0 {
-            warn!(lines = lost, "the log was not read, and lines were dropped");
+            warn!(lines = lost, "log output was not consumed in time; lines were dropped");
         }
-        if self.unusual.is_empty() {
+        if self.unusual_outcomes.is_empty() {
             return;
         }
-        let counts = std::mem::take(&mut self.unusual);
-        let n = |what| counts.get(what).copied();
+        let counts = std::mem::take(&mut self.unusual_outcomes);
+        let count = |what| counts.get(what).copied();
         info!(
-            seconds = SUMMARY.as_secs(),
+            seconds = SUMMARY_INTERVAL.as_secs(),
             open = self.requests.len(),
-            error = n("error"),
-            turned_away = n("turned away"),
-            timed_out = n("timed out"),
-            not_connected = n("not connected"),
-            reset = n("reset"),
-            cancelled = n("cancelled"),
-            moot = n("moot"),
-            client_gone = n("client gone"),
-            refused = n("refused"),
-            failed = n("failed"),
-            rejected = n("rejected"),
-            discovery_failed = n("discovery failed"),
+            error = count("error"),
+            turned_away = count("turned away"),
+            timed_out = count("timed out"),
+            not_connected = count("not connected"),
+            reset = count("reset"),
+            cancelled = count("cancelled"),
+            moot = count("moot"),
+            client_gone = count("client gone"),
+            refused = count("refused"),
+            failed = count("failed"),
+            rejected = count("rejected"),
+            discovery_failed = count("discovery failed"),
             "outcomes"
         );
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Request(arrival) => self.arrived(*arrival),
-            Input::BodyComplete(id, deadline) => self.whole(id, deadline),
-            Input::ClientGone(id) => self.gone(id),
-            Input::AttemptEnded(id, attempt, ended) => self.attempt_ended(id, attempt, ended),
+            Input::Request(arrival) => self.handle_request(*arrival),
+            Input::BodyComplete(id, deadline) => self.handle_body_complete(id, deadline),
+            Input::ClientGone(id) => self.handle_client_gone(id),
+            Input::AttemptEnded(id, attempt, ended) => self.handle_attempt_end(id, attempt, ended),
             Input::ProbeEnded(endpoint, Ended { outcome, report, connected_for, .. }, elapsed) => {
-                self.answered(endpoint, connected_for);
-                self.handle(Event::ProbeEnded { endpoint, outcome, elapsed, report });
+                self.report_answer(endpoint, connected_for);
+                self.handle_event(Event::ProbeEnded { endpoint, outcome, elapsed, report });
             }
-            Input::ListUpdate(news) => {
-                self.list(news);
+            Input::ListUpdate(update) => {
+                self.apply_list_update(update);
                 let usable = self.balancer.list_holds(self.clock.now());
                 self.context
                     .list_usable
                     .send_if_modified(|before| std::mem::replace(before, usable) != usable);
             }
-            // Who asked may have gone by now.
-            Input::IsKnown(uid, to) => drop(to.send(self.knows(&uid))),
+            // The caller may have gone by now.
+            Input::IsKnown(uid, to) => drop(to.send(self.is_known(&uid))),
             Input::ManualEjections(standing, done) => {
-                self.follow(standing);
+                self.apply_manual_ejections(standing);
                 let _ = done.send(());
             }
             Input::SidecarProcesses(processes) => {
                 info!("processes of this sidecar: {processes}");
-                self.handle(Event::ProcessCountChanged { processes: processes as u32 });
+                self.handle_event(Event::ProcessCountChanged { processes: processes as u32 });
             }
             Input::BalancerCount(living) => {
-                info!("balancers that share the work: {living}");
-                self.handle(Event::BalancerCountChanged { balancers: living });
+                info!("live balancers of this tier: {living}");
+                self.handle_event(Event::BalancerCountChanged { balancers: living });
             }
             Input::Stats(to) => drop(to.send(self.balancer.stats(self.clock.now()))),
             Input::FailPending => {
-                let open = self.requests.iter().filter(|(_, open)| open.answer.is_some());
-                let open: Vec<RequestId> = open.map(|(id, _)| *id).collect();
-                warn!("giving up {} requests", open.len());
-                for id in open {
+                let pending = self.requests.iter().filter(|(_, pending)| pending.answer.is_some());
+                let pending: Vec<RequestId> = pending.map(|(id, _)| *id).collect();
+                warn!("drain time is over; failing {} pending requests", pending.len());
+                for id in pending {
                     self.finish(id, Answer::Failed);
-                    self.handle(Event::RequestGone(id));
-                    self.tidy(id);
+                    self.handle_event(Event::RequestGone(id));
+                    self.remove_if_done(id);
                 }
             }
         }
     }
 
-    fn arrived(&mut self, arrival: Arrival) {
+    fn handle_request(&mut self, arrival: Arrival) {
         let Arrival { mut request, deadline, forward, answer } = arrival;
         request.time_left = deadline.saturating_duration_since(Instant::now());
-        let open = Open { forward, deadline, answer: Some(answer), tries: Vec::new(), out: 0 };
+        let pending = PendingRequest {
+            forward,
+            deadline,
+            answer: Some(answer),
+            attempts: Vec::new(),
+            unfinished_attempts: 0,
+        };
         debug!(
-            request = open.forward.id(),
-            path = open.forward.uri.path(),
+            request = pending.forward.id(),
+            path = pending.forward.uri.path(),
             left_ms = request.time_left.as_millis() as u64,
             "taken"
         );
-        self.requests.insert(request.id, open);
-        self.handle(Event::Request(request));
+        self.requests.insert(request.id, pending);
+        self.handle_event(Event::Request(request));
     }
 
-    fn whole(&mut self, id: RequestId, deadline: Instant) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
+    fn handle_body_complete(&mut self, id: RequestId, deadline: Instant) {
+        let Some(pending) = self.requests.get_mut(&id) else { return };
         let now = Instant::now();
-        open.deadline = deadline;
-        if let Some(tried) = open.tries.last_mut() {
-            tried.sent = now; // the endpoint begins only now
+        pending.deadline = deadline;
+        if let Some(entry) = pending.attempts.last_mut() {
+            entry.started_at = now; // the endpoint starts work only now
         }
         let time_left = deadline.saturating_duration_since(now);
-        self.handle(Event::BodyForwarded { request: id, time_left });
+        self.handle_event(Event::BodyForwarded { request: id, time_left });
     }
 
-    fn gone(&mut self, id: RequestId) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        if open.answer.take().is_some() {
-            open.stop_unwritten();
-            debug!(request = open.forward.id(), "its client has gone");
-            self.count("client gone");
-            self.handle(Event::RequestGone(id));
+    fn handle_client_gone(&mut self, id: RequestId) {
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        if pending.answer.take().is_some() {
+            pending.cancel_unwritten();
+            debug!(request = pending.forward.id(), "its client has gone");
+            self.count_unusual("client gone");
+            self.handle_event(Event::RequestGone(id));
         }
-        self.tidy(id);
+        self.remove_if_done(id);
     }
 
-    fn attempt_ended(&mut self, id: RequestId, attempt: AttemptNo, ended: Ended) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(tried) = open.tries.get_mut(attempt.0 as usize) else { return };
-        if tried.cancel.take().is_none() {
-            return; // its outcome has been told
+    fn handle_attempt_end(&mut self, id: RequestId, attempt: AttemptNo, ended: Ended) {
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        let Some(entry) = pending.attempts.get_mut(attempt.0 as usize) else { return };
+        if entry.cancel.take().is_none() {
+            return; // its outcome has already been reported
         }
-        open.out -= 1;
-        let (endpoint, sent, elapsed) = (tried.endpoint, tried.sent, tried.sent.elapsed());
+        pending.unfinished_attempts -= 1;
+        let (endpoint, sent, elapsed) = (entry.endpoint, entry.started_at, entry.started_at.elapsed());
         let Ended { mut outcome, body, passing, rejected, report, connected_for } = ended;
         debug!(
-            request = open.forward.id(),
+            request = pending.forward.id(),
             attempt = attempt.0,
             outcome = outcome_name(outcome),
             ms = elapsed.as_millis() as u64,
             "attempt ended"
         );
-        let (spent, rejected) = (open.forward.body.spent(), rejected || open.forward.body.faulty());
+        let (spent, rejected) = (pending.forward.body.spent(), rejected || pending.forward.body.faulty());
         if outcome == Outcome::TimedOut {
             self.context.outbound.close_unheard(endpoint, sent);
         }
         if rejected {
-            // The request's own fault says nothing of the endpoint; sent again it would spend what honest ones need.
+            // An invalid request says nothing about the endpoint; a retry would use capacity that valid
+            // requests need.
             outcome = Outcome::Cancelled;
             self.finish(id, Answer::Rejected);
         } else if outcome == Outcome::Ok {
             self.finish(id, passing.map_or(Answer::Served(body), Answer::Passing));
         } else {
-            self.count(outcome_name(outcome));
+            self.count_unusual(outcome_name(outcome));
         }
-        let finished = self.requests.get(&id).is_none_or(|open| open.answer.is_none());
+        let finished = self.requests.get(&id).is_none_or(|pending| pending.answer.is_none());
         if spent {
-            self.handle(Event::BodySendStarted(id));
+            self.handle_event(Event::BodySendStarted(id));
         }
-        self.answered(endpoint, connected_for);
-        self.handle(Event::AttemptEnded(AttemptEnded {
+        self.report_answer(endpoint, connected_for);
+        self.handle_event(Event::AttemptEnded(AttemptEnded {
             request: id,
             attempt,
             endpoint,
@@ -268,99 +276,99 @@
             finished,
             report,
         }));
-        self.tidy(id);
+        self.remove_if_done(id);
     }
 
-    /// Tells the module that an endpoint has answered, if it has.
-    fn answered(&mut self, endpoint: EndpointId, connected_for: Option<Duration>) {
+    /// Tells the policy that an endpoint has answered, if it has.
+    fn report_answer(&mut self, endpoint: EndpointId, connected_for: Option<Duration>) {
         if let Some(connected_for) = connected_for {
-            self.handle(Event::Answered { endpoint, connected_for });
+            self.handle_event(Event::Answered { endpoint, connected_for });
         }
     }
 
-    /// Somebody has this uid: it is listed, or was taken out and can be called back.
-    fn knows(&self, uid: &str) -> bool {
-        self.standing.suspended.contains(uid)
+    /// Whether the uid is listed, or is suspended and can be resumed.
+    fn is_known(&self, uid: &str) -> bool {
+        self.manual_ejections.suspended.contains(uid)
             || self.addresses.contains_key(&self.context.discovery.id(uid))
     }
 
-    /// Tells the module what the operators have changed since the standing before.
-    fn follow(&mut self, standing: ManualEjections) {
-        let before = std::mem::replace(&mut self.standing, standing.clone());
+    /// Tells the policy which endpoints operators have suspended or resumed since the previous state.
+    fn apply_manual_ejections(&mut self, standing: ManualEjections) {
+        let before = std::mem::replace(&mut self.manual_ejections, standing.clone());
         for uid in standing.suspended.difference(&before.suspended) {
-            info!(endpoint = uid, "operators: {uid} is suspended");
+            info!(endpoint = uid, "endpoint {uid} suspended by an operator");
             let id = self.context.discovery.id(uid);
             self.context.outbound.bar(id);
-            self.handle(Event::Suspend(id));
+            self.handle_event(Event::Suspend(id));
         }
         for (uid, _) in standing.resumed.iter().filter(|(uid, at)| before.resumed.get(*uid) != Some(at)) {
-            info!(endpoint = uid, "operators: {uid} is resumed");
+            info!(endpoint = uid, "endpoint {uid} resumed by an operator");
             // Counted from when this process learns of it: its wall clock may have been stepped since.
             let (endpoint, at) = (self.context.discovery.id(uid), self.clock.now());
-            self.handle(Event::Resume { endpoint, at });
+            self.handle_event(Event::Resume { endpoint, at });
         }
     }
 
-    fn list(&mut self, news: ListUpdate) {
-        for (id, address) in &news.addresses {
+    fn apply_list_update(&mut self, update: ListUpdate) {
+        for (id, address) in &update.addresses {
             let before = self.addresses.insert(*id, *address);
             if before.is_some_and(|before| before != *address) {
                 self.context.outbound.close_idle(*id);
             }
         }
-        let (whole, entries) = match &news.membership {
+        let (complete, entries) = match &update.membership {
             Membership::Full(entries) | Membership::Cached(entries) => (true, entries),
             Membership::Delta(entries) => (false, entries),
             Membership::FromPreviousAddress { whole, entries }
             | Membership::Unconfirmed { whole, entries } => (*whole, entries),
             Membership::Failed { .. } => {
-                self.count("discovery failed");
-                return self.handle(Event::Membership(news.membership));
+                self.count_unusual("discovery failed");
+                return self.handle_event(Event::Membership(update.membership));
             }
-            Membership::Moved => return self.handle(Event::Membership(news.membership)),
+            Membership::Moved => return self.handle_event(Event::Membership(update.membership)),
         };
-        let mut left: [Vec<String>; 2] = Default::default();
-        // Nothing new goes to these.
+        let mut leaving: [Vec<String>; 2] = Default::default();
+        // These endpoints get no new attempts.
         for entry in entries.iter().filter(|entry| entry.state != EndpointState::Ready) {
             self.context.outbound.bar(entry.id);
             let gone = entry.state == EndpointState::Gone;
-            left[usize::from(gone)].push(self.context.discovery.uid(entry.id));
+            leaving[usize::from(gone)].push(self.context.discovery.uid(entry.id));
             if gone {
                 self.addresses.remove(&entry.id);
             }
         }
-        if whole {
+        if complete {
             let outbound = &self.context.outbound;
-            let named: HashSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
+            let listed_ids: HashSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
             self.addresses.retain(|id, _| {
-                let listed = named.contains(id);
+                let listed = listed_ids.contains(id);
                 if !listed {
                     outbound.bar(*id);
                 }
                 listed
             });
         }
-        left.iter().zip(["draining", "gone"]).for_each(|(uids, state)| log_leaving(uids, state));
-        self.handle(Event::Membership(news.membership));
+        leaving.iter().zip(["draining", "gone"]).for_each(|(uids, state)| log_leaving(uids, state));
+        self.handle_event(Event::Membership(update.membership));
     }
 
-    /// Gives the module an event and carries out what it wants done, and what comes of that.
-    fn handle(&mut self, event: Event) {
-        self.due.push_back(event);
+    /// Passes an event to the policy and carries out the actions, including events that result from them.
+    fn handle_event(&mut self, event: Event) {
+        self.pending_events.push_back(event);
         let mut actions = Vec::new();
-        while let Some(event) = self.due.pop_front() {
-            let about = match &event {
+        while let Some(event) = self.pending_events.pop_front() {
+            let ended_request = match &event {
                 Event::AttemptEnded(ended) => Some(ended.request),
                 _ => None,
             };
-            let began = Instant::now();
-            self.balancer.handle(self.clock.at(began), event, &mut actions);
-            self.context.counters.record_decision(began.elapsed());
+            let started_at = Instant::now();
+            self.balancer.handle(self.clock.at(started_at), event, &mut actions);
+            self.context.counters.record_decision(started_at.elapsed());
             for action in actions.drain(..) {
                 self.carry_out(action);
             }
-            if let Some(id) = about {
-                self.tidy(id);
+            if let Some(id) = ended_request {
+                self.remove_if_done(id);
             }
         }
     }
@@ -372,17 +380,17 @@
             }
             Action::Refuse { request, retry_after } => {
                 self.finish(request, Answer::Refused(retry_after));
-                self.tidy(request);
+                self.remove_if_done(request);
             }
             Action::Fail { request } => {
                 self.finish(request, Answer::Failed);
-                self.tidy(request);
+                self.remove_if_done(request);
             }
             Action::Cancel { request, attempt } => {
-                if let Some(open) = self.requests.get_mut(&request)
-                    && let Some(tried) = open.tries.get_mut(attempt.0 as usize)
+                if let Some(pending) = self.requests.get_mut(&request)
+                    && let Some(entry) = pending.attempts.get_mut(attempt.0 as usize)
                 {
-                    tried.cancel();
+                    entry.cancel();
                 }
             }
             Action::SetTimer { token, after } => {
@@ -397,7 +405,7 @@
         }
     }
 
-    /// Starts an attempt. What must not be sent is numbered all the same, and ends as moot.
+    /// Starts an attempt. An attempt that must not be sent still gets a number, and ends as moot.
     fn send(
         &mut self,
         id: RequestId,
@@ -405,44 +413,49 @@
         timeout: Duration,
         write_within: Option<Duration>,
     ) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let (now, attempt) = (Instant::now(), AttemptNo(open.tries.len() as u32));
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        let (now, attempt) = (Instant::now(), AttemptNo(pending.attempts.len() as u32));
         let address = self.addresses.get(&endpoint).copied();
-        let until = open.deadline.min(now + timeout);
-        let moot = open.answer.is_none() || open.tries.len() >= self.max_attempts || until <= now;
+        let until = pending.deadline.min(now + timeout);
+        let moot = pending.answer.is_none() || pending.attempts.len() >= self.max_attempts || until <= now;
         let progress = Rc::new(self.context.outbound.progress());
         let Some(address) = address.filter(|_| !moot) else {
-            open.tries.push(Try { endpoint, sent: now, cancel: None, progress });
-            self.due.push_back(Event::AttemptEnded(AttemptEnded {
+            pending.attempts.push(Attempt { endpoint, started_at: now, cancel: None, progress });
+            self.pending_events.push_back(Event::AttemptEnded(AttemptEnded {
                 request: id,
                 attempt,
                 endpoint,
                 outcome: Outcome::NotSent,
                 elapsed: Duration::ZERO,
-                finished: open.answer.is_none(),
+                finished: pending.answer.is_none(),
                 report: None,
             }));
-            return self.count(outcome_name(Outcome::NotSent));
+            return self.count_unusual(outcome_name(Outcome::NotSent));
         };
         debug!(
-            request = open.forward.id(),
+            request = pending.forward.id(),
             attempt = attempt.0,
             endpoint = self.context.discovery.uid(endpoint),
             "sent"
         );
         let (cancel, mut cancelled) = oneshot::channel();
-        open.tries.push(Try { endpoint, sent: now, cancel: Some(cancel), progress: progress.clone() });
-        open.out += 1;
-        let request = open.forward.request(address, &progress);
-        let upload = match &open.forward.body {
+        pending.attempts.push(Attempt {
+            endpoint,
+            started_at: now,
+            cancel: Some(cancel),
+            progress: progress.clone(),
+        });
+        pending.unfinished_attempts += 1;
+        let request = pending.forward.request(address, &progress);
+        let upload = match &pending.forward.body {
             Content::Held(_) => None,
             Content::Passed(upload) => Some(upload.clone()),
         };
         let (outbound, inbox) = (self.context.outbound.clone(), self.context.inbox.clone());
         let write_by = write_within.map(|within| now + within);
-        let may_time_out = upload.is_none();
-        let told = may_time_out.then_some(until);
-        let dispatch = Dispatch { endpoint, address, decided: now, write_by, until: told };
+        let times_out = upload.is_none();
+        let announced_deadline = times_out.then_some(until);
+        let dispatch = Dispatch { endpoint, address, decided: now, write_by, until: announced_deadline };
         spawn_local(async move {
             let out_of_time = async {
                 match upload {
@@ -452,9 +465,9 @@
             };
             let ended = tokio::select! {
                 biased;
-                // The module's timer for the deadline may wake the thread before this task's.
+                // The policy's timer for the deadline may wake the thread before this task's timer.
                 _ = &mut cancelled => {
-                    let late = may_time_out && Instant::now() >= until;
+                    let late = times_out && Instant::now() >= until;
                     Ended::bare(if late { progress.given_up() } else { progress.cancelled() })
                 }
                 ended = outbound.attempt(dispatch, request, &progress) => ended,
@@ -467,7 +480,7 @@
     fn probe(&mut self, endpoint: EndpointId) {
         let Some(&address) = self.addresses.get(&endpoint) else {
             let (outcome, elapsed, report) = (Outcome::ConnectFailed, Duration::ZERO, None);
-            return self.due.push_back(Event::ProbeEnded { endpoint, outcome, elapsed, report });
+            return self.pending_events.push_back(Event::ProbeEnded { endpoint, outcome, elapsed, report });
         };
         let (outbound, inbox, sent) =
             (self.context.outbound.clone(), self.context.inbox.clone(), Instant::now());
@@ -477,32 +490,41 @@
         });
     }
 
-    /// Gives a request its final answer, unless it has had one.
+    /// Gives a request its final answer, unless it already has one.
     fn finish(&mut self, id: RequestId, answer: Answer) {
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(to) = open.answer.take() else { return };
-        open.stop_unwritten();
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        let Some(to) = pending.answer.take() else { return };
+        pending.cancel_unwritten();
         let (name, unusual) = match &answer {
             Answer::Served(_) | Answer::Passing(_) => ("served", false),
             Answer::Refused(_) => ("refused", true),
             Answer::Failed => ("failed", true),
             Answer::Rejected => ("rejected", true),
         };
-        debug!(request = open.forward.id(), attempts = open.tries.len(), answer = name, "answered");
+        debug!(
+            request = pending.forward.id(),
+            attempts = pending.attempts.len(),
+            answer = name,
+            "answered"
+        );
         if unusual {
-            self.count(name);
+            self.count_unusual(name);
         }
-        let _ = to.send(answer); // fails where the client has just gone
+        let _ = to.send(answer); // fails if the client has just left
     }
 
-    /// Forgets a request that nothing more can be heard of.
-    fn tidy(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|open| open.answer.is_none() && open.out == 0) {
+    /// Drops a request once it is answered and all its attempts have ended.
+    fn remove_if_done(&mut self, id: RequestId) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|pending| pending.answer.is_none() && pending.unfinished_attempts == 0)
+        {
             self.requests.remove(&id);
         }
     }
 
-    fn count(&mut self, what: &'static str) {
-        *self.unusual.entry(what).or_default() += 1;
+    fn count_unusual(&mut self, what: &'static str) {
+        *self.unusual_outcomes.entry(what).or_default() += 1;
     }
 }
--- a/src/net/pending_request.rs
+++ b/src/net/pending_request.rs
@@ -1,4 +1,4 @@
-//! Requests in work and their attempts, as the driver holds them.
+//! Requests without a final answer or with attempts in flight, as the driver keeps them.
 
 use super::message::{Answer, Forward};
 use super::progress::Progress;
@@ -7,46 +7,47 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// An attempt, by its number.
-pub struct Try {
+/// An attempt; its position in the request's list is its number.
+pub struct Attempt {
     /// Where it went.
     pub endpoint: EndpointId,
-    /// When it was decided; of a body that passes, when it had come whole.
-    pub sent: Instant,
-    /// Dropped to cancel; gone once the attempt has ended.
+    /// When it was decided on; for a streamed body, when the body was complete.
+    pub started_at: Instant,
+    /// Dropped to cancel; none once the attempt has ended.
     pub cancel: Option<oneshot::Sender<()>>,
-    /// How far it is.
+    /// How far it has come.
     pub progress: Rc<Progress>,
 }
 
-impl Try {
-    /// Stops it. It tells its end itself, unless another outcome is already on its way.
+impl Attempt {
+    /// Cancels the attempt, which reports its own end unless another outcome is already on its way.
     pub fn cancel(&mut self) {
         if let Some(cancel) = &mut self.cancel {
-            let (kept, _) = oneshot::channel();
-            drop(std::mem::replace(cancel, kept));
+            let (unused, _) = oneshot::channel();
+            drop(std::mem::replace(cancel, unused));
         }
     }
 }
 
 /// A request until it has its final answer and all its attempts have ended.
-pub struct Open {
-    /// What goes on to endpoints.
+pub struct PendingRequest {
+    /// What is forwarded to endpoints.
     pub forward: Forward,
-    /// When its answer must be on its way.
+    /// When the answer must be on its way.
     pub deadline: Instant,
-    /// Gone once the request is finished: so there is never a second final answer.
+    /// None once the request is finished, so that there is never a second final answer.
     pub answer: Option<oneshot::Sender<Answer>>,
-    /// Its attempts, by their numbers.
-    pub tries: Vec<Try>,
-    /// How many of them have not ended.
-    pub out: usize,
+    /// Indexed by attempt number.
+    pub attempts: Vec<Attempt>,
+    /// Number of attempts that have not ended.
+    pub unfinished_attempts: usize,
 }
 
-impl Open {
-    /// Stops what has not been written yet: nobody waits for it any more, and to let it begin only now would
-    /// be a send of its own, whatever the settings say of cancelling what has begun.
-    pub fn stop_unwritten(&mut self) {
-        self.tries.iter_mut().filter(|tried| !tried.progress.is_written()).for_each(Try::cancel);
+impl PendingRequest {
+    /// Cancels attempts that have not been written yet. Nobody waits for them any more, and letting one
+    /// start only now would be a new send, whatever the settings say about cancelling attempts that have
+    /// started.
+    pub fn cancel_unwritten(&mut self) {
+        self.attempts.iter_mut().filter(|attempt| !attempt.progress.is_written()).for_each(Attempt::cancel);
     }
 }
