--- a/src/connection.rs
+++ b/src/connection.rs
@@ -10,9 +10,9 @@
 use tokio::time::sleep;
 
 /// A connect that this machine fails is tried so often, ...
-const CONNECT_TRIES: u32 = 4;
+const MAX_CONNECT_ATTEMPTS: u32 = 4;
 /// ... so far apart: what lacks for a moment is there again, and nothing is told of the other side by then.
-const CONNECT_PAUSE: Duration = Duration::from_millis(10);
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// A connection that is only taken for empty or full when the system says so.
 ///
@@ -34,12 +34,12 @@
     /// # Errors
     /// Those of `socket` and `connect`, where they last.
     pub async fn connect(address: SocketAddr) -> io::Result<Self> {
-        let mut tries = 1;
+        let mut attempts = 1;
         loop {
             match TcpStream::connect(address).await {
-                Err(e) if tries < CONNECT_TRIES && is_local(&e) => {
-                    tries += 1;
-                    sleep(CONNECT_PAUSE).await;
+                Err(e) if attempts < MAX_CONNECT_ATTEMPTS && is_local(&e) => {
+                    attempts += 1;
+                    sleep(CONNECT_RETRY_DELAY).await;
                 }
                 connected => return connected.map(TcpConnection::new),
             }
@@ -79,7 +79,7 @@
         loop {
             ready!(self.0.poll_read_ready(context))?;
             match self.0.try_read_buf(buffer) {
-                Err(e) if must_wait(&e) => {}
+                Err(e) if is_retryable(&e) => {}
                 read => return Poll::Ready(read.map(drop)),
             }
         }
@@ -94,7 +94,7 @@
         loop {
             ready!(self.0.poll_write_ready(context))?;
             match self.0.try_write_vectored(data) {
-                Err(e) if must_wait(&e) => {}
+                Err(e) if is_retryable(&e) => {}
                 written => return Poll::Ready(written),
             }
         }
@@ -103,7 +103,7 @@
 
 /// Whether a call failed for what this machine lacks: descriptors, memory, ports, or a way out.
 pub fn is_local(error: &io::Error) -> bool {
-    let lacking = [
+    let local_errors = [
         libc::EMFILE,
         libc::ENFILE,
         libc::ENOBUFS,
@@ -112,11 +112,11 @@
         libc::ENETUNREACH,
         libc::ENETDOWN,
     ];
-    error.raw_os_error().is_some_and(|code| lacking.contains(&code))
+    error.raw_os_error().is_some_and(|code| local_errors.contains(&code))
 }
 
 /// Whether a call is to be made again: at once after a signal, and once the socket is ready again otherwise.
-fn must_wait(error: &io::Error) -> bool {
+fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -7,10 +7,10 @@
 use super::counters::Counters;
 use super::discovery::{Discovery, DiscoveryCommand};
 use super::list_translator::ListUpdate;
-use super::log_text::{log_leaving, outcome_name};
+use super::log_text::{log_unavailable, outcome_name};
 use super::manual_ejections::ManualEjections;
-use super::message::{Answer, Arrival, Content, Inbox, Input};
-use super::outbound::{Dispatch, Ended, Outbound};
+use super::message::{Answer, Inbox, IncomingRequest, Input, RequestBody};
+use super::outbound::{AttemptEnd, Dispatch, Outbound};
 use super::pending_request::{Attempt, PendingRequest};
 use gullpulley::{
     Action, AttemptEnded, AttemptNo, Balancer, EndpointId, EndpointState, Event, Membership, Outcome,
@@ -147,11 +147,11 @@
 
     fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Request(arrival) => self.handle_request(*arrival),
+            Input::Request(incoming) => self.handle_request(*incoming),
             Input::BodyComplete(id, deadline) => self.handle_body_complete(id, deadline),
             Input::ClientGone(id) => self.handle_client_gone(id),
             Input::AttemptEnded(id, attempt, ended) => self.handle_attempt_end(id, attempt, ended),
-            Input::ProbeEnded(endpoint, Ended { outcome, report, connected_for, .. }, elapsed) => {
+            Input::ProbeEnded(endpoint, AttemptEnd { outcome, report, connected_for, .. }, elapsed) => {
                 self.report_answer(endpoint, connected_for);
                 self.handle_event(Event::ProbeEnded { endpoint, outcome, elapsed, report });
             }
@@ -190,8 +190,8 @@
         }
     }
 
-    fn handle_request(&mut self, arrival: Arrival) {
-        let Arrival { mut request, deadline, forward, answer } = arrival;
+    fn handle_request(&mut self, incoming: IncomingRequest) {
+        let IncomingRequest { mut request, deadline, forward, answer } = incoming;
         request.time_left = deadline.saturating_duration_since(Instant::now());
         let pending = PendingRequest {
             forward,
@@ -201,7 +201,7 @@
             unfinished_attempts: 0,
         };
         debug!(
-            request = pending.forward.id(),
+            request = pending.forward.x_request_id(),
             path = pending.forward.uri.path(),
             left_ms = request.time_left.as_millis() as u64,
             "taken"
@@ -225,14 +225,14 @@
         let Some(pending) = self.requests.get_mut(&id) else { return };
         if pending.answer.take().is_some() {
             pending.cancel_unwritten();
-            debug!(request = pending.forward.id(), "its client has gone");
+            debug!(request = pending.forward.x_request_id(), "its client has gone");
             self.count_unusual("client gone");
             self.handle_event(Event::RequestGone(id));
         }
         self.remove_if_done(id);
     }
 
-    fn handle_attempt_end(&mut self, id: RequestId, attempt: AttemptNo, ended: Ended) {
+    fn handle_attempt_end(&mut self, id: RequestId, attempt: AttemptNo, ended: AttemptEnd) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
         let Some(entry) = pending.attempts.get_mut(attempt.0 as usize) else { return };
         if entry.cancel.take().is_none() {
@@ -240,30 +240,33 @@
         }
         pending.unfinished_attempts -= 1;
         let (endpoint, sent, elapsed) = (entry.endpoint, entry.started_at, entry.started_at.elapsed());
-        let Ended { mut outcome, body, passing, rejected, report, connected_for } = ended;
+        let AttemptEnd { mut outcome, body, streamed, bad_request, report, connected_for } = ended;
         debug!(
-            request = pending.forward.id(),
+            request = pending.forward.x_request_id(),
             attempt = attempt.0,
             outcome = outcome_name(outcome),
             ms = elapsed.as_millis() as u64,
             "attempt ended"
         );
-        let (spent, rejected) = (pending.forward.body.spent(), rejected || pending.forward.body.faulty());
+        let (send_started, bad_request) = (
+            pending.forward.body.is_send_started(),
+            bad_request || pending.forward.body.failed_at_client(),
+        );
         if outcome == Outcome::TimedOut {
-            self.context.outbound.close_unheard(endpoint, sent);
+            self.context.outbound.close_idle_before(endpoint, sent);
         }
-        if rejected {
+        if bad_request {
             // An invalid request says nothing about the endpoint; a retry would use capacity that valid
             // requests need.
             outcome = Outcome::Cancelled;
-            self.finish(id, Answer::Rejected);
+            self.finish(id, Answer::BadRequest);
         } else if outcome == Outcome::Ok {
-            self.finish(id, passing.map_or(Answer::Served(body), Answer::Passing));
+            self.finish(id, streamed.map_or(Answer::Served(body), Answer::Streamed));
         } else {
             self.count_unusual(outcome_name(outcome));
         }
         let finished = self.requests.get(&id).is_none_or(|pending| pending.answer.is_none());
-        if spent {
+        if send_started {
             self.handle_event(Event::BodySendStarted(id));
         }
         self.report_answer(endpoint, connected_for);
@@ -298,7 +301,7 @@
         for uid in standing.suspended.difference(&before.suspended) {
             info!(endpoint = uid, "endpoint {uid} suspended by an operator");
             let id = self.context.discovery.id(uid);
-            self.context.outbound.bar(id);
+            self.context.outbound.block_unwritten(id);
             self.handle_event(Event::Suspend(id));
         }
         for (uid, _) in standing.resumed.iter().filter(|(uid, at)| before.resumed.get(*uid) != Some(at)) {
@@ -327,12 +330,12 @@
             }
             Membership::Moved => return self.handle_event(Event::Membership(update.membership)),
         };
-        let mut leaving: [Vec<String>; 2] = Default::default();
+        let mut unavailable: [Vec<String>; 2] = Default::default();
         // These endpoints get no new attempts.
         for entry in entries.iter().filter(|entry| entry.state != EndpointState::Ready) {
-            self.context.outbound.bar(entry.id);
+            self.context.outbound.block_unwritten(entry.id);
             let gone = entry.state == EndpointState::Gone;
-            leaving[usize::from(gone)].push(self.context.discovery.uid(entry.id));
+            unavailable[usize::from(gone)].push(self.context.discovery.uid(entry.id));
             if gone {
                 self.addresses.remove(&entry.id);
             }
@@ -343,12 +346,12 @@
             self.addresses.retain(|id, _| {
                 let listed = listed_ids.contains(id);
                 if !listed {
-                    outbound.bar(*id);
+                    outbound.block_unwritten(*id);
                 }
                 listed
             });
         }
-        leaving.iter().zip(["draining", "gone"]).for_each(|(uids, state)| log_leaving(uids, state));
+        unavailable.iter().zip(["draining", "gone"]).for_each(|(uids, state)| log_unavailable(uids, state));
         self.handle_event(Event::Membership(update.membership));
     }
 
@@ -405,7 +408,7 @@
         }
     }
 
-    /// Starts an attempt. An attempt that must not be sent still gets a number, and ends as moot.
+    /// Starts an attempt. An attempt that must not be sent still gets a number, and ends as not sent.
     fn send(
         &mut self,
         id: RequestId,
@@ -416,9 +419,11 @@
         let Some(pending) = self.requests.get_mut(&id) else { return };
         let (now, attempt) = (Instant::now(), AttemptNo(pending.attempts.len() as u32));
         let address = self.addresses.get(&endpoint).copied();
-        let until = pending.deadline.min(now + timeout);
-        let moot = pending.answer.is_none() || pending.attempts.len() >= self.max_attempts || until <= now;
-        let progress = Rc::new(self.context.outbound.progress());
+        let attempt_deadline = pending.deadline.min(now + timeout);
+        let moot = pending.answer.is_none()
+            || pending.attempts.len() >= self.max_attempts
+            || attempt_deadline <= now;
+        let progress = Rc::new(self.context.outbound.new_progress());
         let Some(address) = address.filter(|_| !moot) else {
             pending.attempts.push(Attempt { endpoint, started_at: now, cancel: None, progress });
             self.pending_events.push_back(Event::AttemptEnded(AttemptEnded {
@@ -433,7 +438,7 @@
             return self.count_unusual(outcome_name(Outcome::NotSent));
         };
         debug!(
-            request = pending.forward.id(),
+            request = pending.forward.x_request_id(),
             attempt = attempt.0,
             endpoint = self.context.discovery.uid(endpoint),
             "sent"
@@ -446,32 +451,32 @@
             progress: progress.clone(),
         });
         pending.unfinished_attempts += 1;
-        let request = pending.forward.request(address, &progress);
+        let request = pending.forward.attempt_request(address, &progress);
         let upload = match &pending.forward.body {
-            Content::Held(_) => None,
-            Content::Passed(upload) => Some(upload.clone()),
+            RequestBody::Buffered(_) => None,
+            RequestBody::Streamed(upload) => Some(upload.clone()),
         };
         let (outbound, inbox) = (self.context.outbound.clone(), self.context.inbox.clone());
         let write_by = write_within.map(|within| now + within);
         let times_out = upload.is_none();
-        let announced_deadline = times_out.then_some(until);
-        let dispatch = Dispatch { endpoint, address, decided: now, write_by, until: announced_deadline };
+        let announced_deadline = times_out.then_some(attempt_deadline);
+        let dispatch = Dispatch { endpoint, address, decided_at: now, write_by, announced_deadline };
         spawn_local(async move {
-            let out_of_time = async {
+            let timed_out = async {
                 match upload {
-                    None => sleep_until(until).await,
-                    Some(upload) => upload.out_of_time().await,
+                    None => sleep_until(attempt_deadline).await,
+                    Some(upload) => upload.timed_out().await,
                 }
             };
             let ended = tokio::select! {
                 biased;
                 // The policy's timer for the deadline may wake the thread before this task's timer.
                 _ = &mut cancelled => {
-                    let late = times_out && Instant::now() >= until;
-                    Ended::bare(if late { progress.given_up() } else { progress.cancelled() })
+                    let late = times_out && Instant::now() >= attempt_deadline;
+                    AttemptEnd::without_answer(if late { progress.outcome_on_timeout() } else { progress.outcome_on_cancel() })
                 }
                 ended = outbound.attempt(dispatch, request, &progress) => ended,
-                () = out_of_time => Ended::bare(progress.given_up()),
+                () = timed_out => AttemptEnd::without_answer(progress.outcome_on_timeout()),
             };
             let _ = inbox.send(Input::AttemptEnded(id, attempt, ended));
         });
@@ -496,13 +501,13 @@
         let Some(to) = pending.answer.take() else { return };
         pending.cancel_unwritten();
         let (name, unusual) = match &answer {
-            Answer::Served(_) | Answer::Passing(_) => ("served", false),
+            Answer::Served(_) | Answer::Streamed(_) => ("served", false),
             Answer::Refused(_) => ("refused", true),
             Answer::Failed => ("failed", true),
-            Answer::Rejected => ("rejected", true),
+            Answer::BadRequest => ("rejected", true),
         };
         debug!(
-            request = pending.forward.id(),
+            request = pending.forward.x_request_id(),
             attempts = pending.attempts.len(),
             answer = name,
             "answered"
--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -1,15 +1,15 @@
 //! Clients' connections: takes requests, gives final answers, and drains at the end.
 
 use super::budget::{Budget, Holder, Permit};
-use super::client_connection::{FIRST_MOST, Turn};
+use super::connection_state::{ConnectionState, FIRST_HEAD_TIMEOUT};
 use super::counters::{Counters, End};
-use super::message::{Answer, Arrival, Content, Forward, Inbox, Input};
+use super::message::{Answer, ForwardedRequest, Inbox, IncomingRequest, Input, RequestBody};
 use super::outbound::{MAX_CONNECTION_BUFFER, Outbound};
 use super::process_phase::Phase;
-use super::reply::{PassingAnswer, Reply, ReplyBody, Waiting, plain, say_when};
-use super::request::{RequestParser, drop_hop_headers, hold};
+use super::reply::{InFlightRequest, Reply, ReplyBody, StreamedReply, set_retry_after, text_reply};
+use super::request::{RequestParser, buffer_body, drop_hop_headers};
 use super::stream::ClientStream;
-use super::streamed_body::{LARGE_MOST, Pieces, Upload};
+use super::streamed_body::{MAX_BODY, StreamedBody, Upload};
 use gullpulley::{RequestId, is_local};
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
@@ -34,32 +34,32 @@
 /// Kept back from a client's time, for the answer to reach it.
 const ANSWER_MARGIN: Duration = Duration::from_millis(10);
 /// A connection over the cap has this long to bring the head that is answered with a refusal.
-const SHED_FIRST_MOST: Duration = Duration::from_millis(500);
+const SHED_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
 /// The head of a later request must have come within this of the answer before it: a silent client does
 /// not keep its socket for good.
-const HEAD_MOST: Duration = Duration::from_secs(30);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
 /// A body that passes through may take so long: the largest at the slowest pace.
-const UPLOAD_MOST: Duration = Duration::from_secs(1100);
+const MAX_UPLOAD_TIME: Duration = Duration::from_secs(1100);
 /// Wait after a failed accept: out of descriptors it would fail again at once, and spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_ERROR_DELAY: Duration = Duration::from_millis(10);
 /// Wait after a connection that was gone before it was accepted.
-const ABORTED_PAUSE: Duration = Duration::from_millis(1);
+const ABORTED_ACCEPT_DELAY: Duration = Duration::from_millis(1);
 /// Failed accepts after which a listener is closed all the same: what lacks that often does not come back at once.
-const CLOSE_TRIES: u32 = 64;
+const MAX_CLOSE_ERRORS: u32 = 64;
 /// New connections come for up to 0.4 s after SIGTERM, so we accept for a little longer.
-const DRAIN_ACCEPT: Duration = Duration::from_millis(500);
+const DRAIN_ACCEPT_TIME: Duration = Duration::from_millis(500);
 /// The backlog is empty once nothing has come out of it for this long.
-const BACKLOG_EMPTY: Duration = Duration::from_millis(30);
+const BACKLOG_IDLE_TIME: Duration = Duration::from_millis(30);
 /// Where room is wanted, only connections that have been between requests for this long are closed.
-const IDLE_LEAST: Duration = Duration::from_secs(1);
+const MIN_IDLE_TIME: Duration = Duration::from_secs(1);
 /// While draining, a connection on which nothing has come yet is closed after this.
-const FRESH_WAIT: Duration = Duration::from_millis(200);
+const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(200);
 /// SIGKILL comes no sooner than the longest deadline, but at most `DEADLINE_MOST`, and 0.7 s more:
 /// what is open this long after it is failed, which leaves the answers time to go out.
-const DRAIN_SLACK: Duration = Duration::from_millis(450);
-const DEADLINE_MOST: Duration = Duration::from_secs(3);
+const DRAIN_MARGIN: Duration = Duration::from_millis(450);
+const MAX_DRAIN_DEADLINE: Duration = Duration::from_secs(3);
 /// The last answers go out within this.
-const LAST_ANSWERS: Duration = Duration::from_millis(150);
+const FINAL_ANSWERS_TIME: Duration = Duration::from_millis(150);
 
 /// How a connection is to be let go.
 #[derive(PartialEq)]
@@ -77,18 +77,18 @@
     counters: Rc<Counters>,
     outbound: Rc<Outbound>,
     inbox: Inbox,
-    next: Cell<u64>,
+    next_id: Cell<u64>,
     /// The X-Request-IDs of the requests in work, as clients choose them.
-    ids: Rc<RefCell<HashSet<String>>>,
+    request_ids: Rc<RefCell<HashSet<String>>>,
     phase: Cell<Phase>,
     /// Told when the operators want it to end.
-    asked_to_drain: Notify,
+    drain_requested: Notify,
     /// Another process of this sidecar takes clients too.
     other_process_serving: Cell<bool>,
     /// Accepting fails; said once in the log until it works again.
-    failing: Cell<bool>,
+    accept_failing: Cell<bool>,
     /// Each change says that connections are to make room, or while draining, to end.
-    close: watch::Sender<()>,
+    close_signal: watch::Sender<()>,
 }
 
 impl Inbound {
@@ -106,13 +106,13 @@
             counters,
             outbound,
             inbox,
-            next: Cell::new(0),
-            ids: Rc::default(),
+            next_id: Cell::new(0),
+            request_ids: Rc::default(),
             phase: Cell::new(Phase::Starting),
-            asked_to_drain: Notify::new(),
+            drain_requested: Notify::new(),
             other_process_serving: Cell::new(false),
-            failing: Cell::new(false),
-            close: watch::Sender::new(()),
+            accept_failing: Cell::new(false),
+            close_signal: watch::Sender::new(()),
         })
     }
 
@@ -123,7 +123,7 @@
 
     /// Ends it as SIGTERM does.
     pub fn drain(&self) {
-        self.asked_to_drain.notify_one();
+        self.drain_requested.notify_one();
     }
 
     /// Whether another process of this sidecar takes clients too.
@@ -133,45 +133,45 @@
 
     /// Serves until told to end, then drains: all that the kernel has accepted is answered.
     /// `ending` is called as the drain begins.
-    pub async fn serve(self: Rc<Self>, listener: TcpListener, mut term: Signal, ending: impl FnOnce()) {
+    pub async fn serve(self: Rc<Self>, listener: TcpListener, mut term: Signal, on_drain: impl FnOnce()) {
         self.phase.set(Phase::Serving);
         loop {
             tokio::select! {
                 _ = term.recv() => break,
-                () = self.asked_to_drain.notified() => break,
+                () = self.drain_requested.notified() => break,
                 () = self.accept(&listener) => {}
             }
         }
-        let asked = Instant::now();
+        let drain_started = Instant::now();
         info!(clients = self.budget.clients(), "draining");
         self.phase.set(Phase::Draining);
-        ending();
+        on_drain();
         let longest = self.parser.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
-        let until = asked + longest.min(DEADLINE_MOST) + DRAIN_SLACK;
+        let until = drain_started + longest.min(MAX_DRAIN_DEADLINE) + DRAIN_MARGIN;
         // What still waits in the backlog then counts as taken: closing the listener would reset it.
         while Instant::now() < until && !self.other_process_serving.get() {
-            let wait = (asked + DRAIN_ACCEPT).max(Instant::now() + BACKLOG_EMPTY);
+            let wait = (drain_started + DRAIN_ACCEPT_TIME).max(Instant::now() + BACKLOG_IDLE_TIME);
             if timeout_at(wait, self.accept(&listener)).await.is_err() {
                 break;
             }
         }
         // A successor may be seen only now. To accept beside it for as long as clients come would end with what is in
         // work when the time is up.
-        self.close_listener(listener);
-        self.close.send_replace(());
-        if timeout_at(until, self.all_gone()).await.is_err() {
-            self.phase.set(Phase::GivenUp);
+        self.accept_backlog_and_close(listener);
+        self.close_signal.send_replace(());
+        if timeout_at(until, self.clients_gone()).await.is_err() {
+            self.phase.set(Phase::DrainTimedOut);
             let _ = self.inbox.send(Input::FailPending);
-            let _ = timeout(LAST_ANSWERS, self.all_gone()).await;
+            let _ = timeout(FINAL_ANSWERS_TIME, self.clients_gone()).await;
         }
-        info!(ms = asked.elapsed().as_millis() as u64, "drained");
+        info!(ms = drain_started.elapsed().as_millis() as u64, "drained");
     }
 
     /// Takes what waits in the backlog and closes the listener in one go: all that comes later is refused, or goes
     /// to the process that listens beside this one. A wait in between would let more in, only to be reset.
-    fn close_listener(self: &Rc<Self>, listener: TcpListener) {
+    fn accept_backlog_and_close(self: &Rc<Self>, listener: TcpListener) {
         let Ok(listener) = listener.into_std() else { return };
-        let mut lacking = 0;
+        let mut errors = 0;
         loop {
             match listener.accept() {
                 Ok((stream, _)) => {
@@ -182,19 +182,19 @@
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 // Of one connection, or of the call: behind it others may wait, which a close would reset.
-                Err(e) if !is_local(&e) => lacking += 1,
+                Err(e) if !is_local(&e) => errors += 1,
                 Err(_) => {
-                    lacking += 1;
+                    errors += 1;
                     self.outbound.close_oldest_idle();
                 }
             }
-            if lacking > CLOSE_TRIES {
+            if errors > MAX_CLOSE_ERRORS {
                 return;
             }
         }
     }
 
-    async fn all_gone(&self) {
+    async fn clients_gone(&self) {
         while self.budget.clients() > 0 {
             self.budget.client_released().await;
         }
@@ -202,23 +202,23 @@
 
     /// Accepts one connection, once there is room for it.
     async fn accept(self: &Rc<Self>, listener: &TcpListener) {
-        let permit = self.room().await;
+        let permit = self.client_permit().await;
         match listener.accept().await {
             Ok((stream, _)) => {
-                self.failing.set(false);
+                self.accept_failing.set(false);
                 self.admit(stream, permit.or_else(|| self.budget.take(Holder::Client)));
             }
             // Of one connection that is gone, or a signal: nothing is lacking, and the next one waits.
             Err(e) if !is_local(&e) => {
                 debug!("accept: {e}");
-                sleep(ABORTED_PAUSE).await; // one that lasts must not keep the thread
+                sleep(ABORTED_ACCEPT_DELAY).await; // one that lasts must not keep the thread
             }
             Err(e) => {
-                if !self.failing.replace(true) {
+                if !self.accept_failing.replace(true) {
                     error!("accept: {e}; said once until it works again");
                 }
                 self.outbound.close_oldest_idle();
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_ERROR_DELAY).await;
             }
         }
     }
@@ -229,19 +229,19 @@
         // What has been accepted takes its descriptor, and is waited for at the end, whether there was room or not.
         let permit = permit.unwrap_or_else(|| self.budget.take_unconditionally(Holder::Shed));
         // Heard from now on, not from when the task first runs: the call to close may come in between.
-        let (this, close) = (self.clone(), self.close.subscribe());
-        spawn_local(async move { this.connection(stream, shed, close, permit).await });
+        let (this, close_signal) = (self.clone(), self.close_signal.subscribe());
+        spawn_local(async move { this.handle_connection(stream, shed, close_signal, permit).await });
     }
 
     /// A permit for one more client; none where it can only be told that there is no room.
-    async fn room(&self) -> Option<Permit> {
+    async fn client_permit(&self) -> Option<Permit> {
         loop {
             while self.budget.blocked_by_endpoints() && self.outbound.close_oldest_idle() {}
             if let Some(permit) = self.budget.take(Holder::Client) {
                 return Some(permit);
             }
             // Idle clients make room for new ones.
-            self.close.send_replace(());
+            self.close_signal.send_replace(());
             if let Some(permit) = self.budget.take(Holder::Shed) {
                 drop(permit);
                 return None;
@@ -250,84 +250,85 @@
         }
     }
 
-    async fn connection(
+    async fn handle_connection(
         self: Rc<Self>,
         stream: TcpStream,
         shed: bool,
-        mut close: watch::Receiver<()>,
+        mut close_signal: watch::Receiver<()>,
         _permit: Permit,
     ) {
         let stream = ClientStream::new(stream);
-        let close_mode = self.talk(&stream, shed, &mut close).await;
+        let close_mode = self.serve_connection(&stream, shed, &mut close_signal).await;
         // Who has been answered must not keep a place that others want: there it is let go at once.
         if close_mode == CloseMode::Graceful && !self.budget.clients_near_limit() {
             tokio::select! {
                 () = stream.close() => {}
-                () = self.room_wanted(&mut close) => {}
+                () = self.room_needed(&mut close_signal) => {}
             }
         }
     }
 
     /// Waits until connections are to make room, and not only to end.
-    async fn room_wanted(&self, close: &mut watch::Receiver<()>) {
+    async fn room_needed(&self, close_signal: &mut watch::Receiver<()>) {
         // The sender lives as long as this does.
-        while close.changed().await.is_ok() && self.phase.get().ending() {}
+        while close_signal.changed().await.is_ok() && self.phase.get().is_ending() {}
     }
 
-    async fn talk(
+    async fn serve_connection(
         self: &Rc<Self>,
         stream: &ClientStream,
         shed: bool,
-        close: &mut watch::Receiver<()>,
+        close_signal: &mut watch::Receiver<()>,
     ) -> CloseMode {
-        let turn = Rc::new(Turn::new());
-        let service = service_fn(|request| self.answer(request, shed, &turn));
+        let state = Rc::new(ConnectionState::new());
+        let service = service_fn(|request| self.handle_request(request, shed, &state));
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEAD_MOST)
+            .header_read_timeout(HEAD_TIMEOUT)
             .keep_alive(!shed)
             .max_buf_size(MAX_CONNECTION_BUFFER)
             .serve_connection(TokioIo::new(stream.clone()), service);
-        let left = stream.left(|| turn.busy.get());
-        tokio::pin!(connection, left);
+        let client_left = stream.client_left(|| state.answering.get());
+        tokio::pin!(connection, client_left);
         // Over the cap there are few places even to say so: silence must not take them.
-        let first = if shed { turn.accepted + SHED_FIRST_MOST } else { turn.first_until() };
-        let (mut first_until, mut fresh_until) = (Some(first), None);
+        let first_head_deadline =
+            if shed { state.accepted_at + SHED_HEAD_TIMEOUT } else { state.first_head_deadline() };
+        let (mut first_head_until, mut new_connection_until) = (Some(first_head_deadline), None);
         loop {
             tokio::select! {
                 biased;
                 _ = connection.as_mut() => return CloseMode::Graceful, // an error here is the client's leaving
                 // Whoever has left waits for no answer, whatever else it had written.
-                () = left.as_mut() => return CloseMode::Immediate,
-                _ = close.changed() => match turn.idle() {
-                    _ if turn.busy.get() => turn.last.set(true),
+                () = client_left.as_mut() => return CloseMode::Immediate,
+                _ = close_signal.changed() => match state.idle_time() {
+                    _ if state.answering.get() => state.close_after_answer.set(true),
                     // On a new connection the first request is as good as taken: to close it now
                     // would lose what the client is just writing.
-                    None if self.phase.get().ending() => fresh_until = Some(Instant::now() + FRESH_WAIT),
+                    None if self.phase.get().is_ending() => new_connection_until = Some(Instant::now() + NEW_CONNECTION_GRACE),
                     // One just used is likely to be used again at once, and a request that crosses
                     // our closing is lost, or sent twice: the next answer says that it is the last.
-                    Some(idle) if self.phase.get().ending() || idle >= IDLE_LEAST => {
+                    Some(idle) if self.phase.get().is_ending() || idle >= MIN_IDLE_TIME => {
                         connection.as_mut().graceful_shutdown();
                     }
-                    _ => turn.last.set(true),
+                    _ => state.close_after_answer.set(true),
                 },
-                () = reached(first_until) => {
-                    first_until = None;
+                () = sleep_until_some(first_head_until) => {
+                    first_head_until = None;
                     // What has come of a head by now is no request.
-                    if turn.unasked() {
+                    if state.awaits_first_request() {
                         return CloseMode::Graceful;
                     }
                 }
                 // Its answer did not yet say that it would be the last.
-                () = turn.turned.notified() => if turn.last.get() && !turn.busy.get() {
+                () = state.streaming_changed.notified() => if state.close_after_answer.get() && !state.answering.get() {
                     connection.as_mut().graceful_shutdown();
                 },
-                () = reached(turn.stuck_at()) => if turn.stuck_at().is_some_and(|at| at <= Instant::now()) {
+                () = sleep_until_some(state.client_stalled_at()) => if state.client_stalled_at().is_some_and(|at| at <= Instant::now()) {
                     return CloseMode::Immediate;
                 },
-                () = reached(fresh_until) => {
-                    fresh_until = None;
-                    if !turn.busy.get() {
+                () = sleep_until_some(new_connection_until) => {
+                    new_connection_until = None;
+                    if !state.answering.get() {
                         connection.as_mut().graceful_shutdown();
                     }
                 }
@@ -335,55 +336,58 @@
         }
     }
 
-    async fn answer(
+    async fn handle_request(
         self: &Rc<Self>,
         request: Request<Incoming>,
         shed: bool,
-        turn: &Rc<Turn>,
+        state: &Rc<ConnectionState>,
     ) -> Result<Reply, Infallible> {
-        turn.busy.set(true);
-        let asks_ready = request.uri().path() == "/-/ready";
-        let mut reply = if asks_ready {
+        state.answering.set(true);
+        let is_readiness_check = request.uri().path() == "/-/ready";
+        let mut reply = if is_readiness_check {
             let status = if self.is_serving() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-            plain(status, "")
+            text_reply(status, "")
         } else {
             let class = self.parser.class(request.uri());
-            let named = enabled!(Level::DEBUG).then(|| request.headers().get("x-request-id").cloned());
+            let request_id = enabled!(Level::DEBUG).then(|| request.headers().get("x-request-id").cloned());
             let served = if shed {
                 Err((StatusCode::SERVICE_UNAVAILABLE, "too many connections"))
             } else {
-                self.serve_request(request, turn).await
+                self.serve_request(request, state).await
             };
-            if let (Some(named), Err((status, problem))) = (named, &served) {
-                let request = named.as_ref().and_then(|id| id.to_str().ok());
+            if let (Some(request_id), Err((status, problem))) = (request_id, &served) {
+                let request = request_id.as_ref().and_then(|id| id.to_str().ok());
                 debug!(request, status = status.as_u16(), problem, "not taken");
             }
             match served {
                 Ok(reply) => reply,
                 Err((StatusCode::SERVICE_UNAVAILABLE, problem)) => {
                     class.into_iter().for_each(|class| self.counters.record_end(class, End::Rejected));
-                    self.no_room(problem)
+                    self.overload_reply(problem)
                 }
                 // What is no proper request ends nothing that would count.
-                Err((status, problem)) => plain(status, problem),
+                Err((status, problem)) => text_reply(status, problem),
             }
         };
-        if matches!(reply.body(), ReplyBody::Held(_)) {
-            turn.over();
+        if matches!(reply.body(), ReplyBody::Buffered(_)) {
+            state.answer_finished();
         }
         // Who only asks whether we are ready and stays takes a place that requests want, where few are left.
-        let in_the_way = asks_ready && self.budget.clients_near_limit();
-        if self.phase.get().ending() || shed || turn.last.get() || in_the_way {
+        let occupies_scarce_slot = is_readiness_check && self.budget.clients_near_limit();
+        if self.phase.get().is_ending() || shed || state.close_after_answer.get() || occupies_scarce_slot {
             reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         Ok(reply)
     }
 
     /// A refusal of our own: there is room once the first silent connections have been closed.
-    fn no_room(&self, text: &'static str) -> Reply {
-        let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, text);
+    fn overload_reply(&self, text: &'static str) -> Reply {
+        let mut reply = text_reply(StatusCode::SERVICE_UNAVAILABLE, text);
         if self.parser.settings.limits.retry_after {
-            say_when(&mut reply, FIRST_MOST.min(self.parser.settings.limits.max_retry_after));
+            set_retry_after(
+                &mut reply,
+                FIRST_HEAD_TIMEOUT.min(self.parser.settings.limits.max_retry_after),
+            );
         }
         reply
     }
@@ -391,96 +395,112 @@
     async fn serve_request(
         self: &Rc<Self>,
         request: Request<Incoming>,
-        turn: &Rc<Turn>,
+        state: &Rc<ConnectionState>,
     ) -> Result<Reply, (StatusCode, &'static str)> {
         let busy = (StatusCode::SERVICE_UNAVAILABLE, "too many requests");
         let memory = self.budget.take(Holder::Request).ok_or(busy)?;
         let (mut head, body) = request.into_parts();
         // What is no proper request is told so before its body, of which there may be much.
         let (mut request, time) = self.parser.parse(&head.method, &head.uri, &head.headers)?;
-        if body.size_hint().lower() > LARGE_MOST {
+        if body.size_hint().lower() > MAX_BODY {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "body too long"));
         }
-        let (first, rest) = hold(body, turn.body_until()).await?;
+        let (buffered, rest) = buffer_body(body, state.body_deadline()).await?;
         // What passes through has buffers of its own on both sides.
         let _buffers = match &rest {
             Some(_) => Some(self.budget.take(Holder::Request).ok_or(busy)?),
             None => None,
         };
-        if self.phase.get() == Phase::GivenUp {
+        if self.phase.get() == Phase::DrainTimedOut {
             return Err((StatusCode::SERVICE_UNAVAILABLE, "ending"));
         }
         // The client counts from its last byte.
-        let came = Instant::now();
-        let named = head.headers.get("x-request-id").and_then(|id| id.to_str().ok()).unwrap_or_default();
+        let received_at = Instant::now();
+        let x_request_id =
+            head.headers.get("x-request-id").and_then(|id| id.to_str().ok()).unwrap_or_default();
         // Whoever sends another client's id sends no request of its own: endpoints would answer 400.
-        if !self.ids.borrow_mut().insert(named.to_owned()) {
+        if !self.request_ids.borrow_mut().insert(x_request_id.to_owned()) {
             return Err((StatusCode::CONFLICT, "X-Request-ID is not fresh"));
         }
-        let taken = self.counters.start_request(request.class.0);
-        let id = RequestId(self.next.get());
-        self.next.set(id.0 + 1);
+        let pending_count = self.counters.start_request(request.class.0);
+        let id = RequestId(self.next_id.get());
+        self.next_id.set(id.0 + 1);
         request.id = id;
-        let (ids, inbox) = (self.ids.clone(), self.inbox.clone());
-        let mut waiting = Waiting { ids, inbox, id, named: named.to_owned(), answered: false };
+        let (request_ids, inbox) = (self.request_ids.clone(), self.inbox.clone());
+        let mut in_flight = InFlightRequest {
+            request_ids,
+            inbox,
+            id,
+            x_request_id: x_request_id.to_owned(),
+            answered: false,
+        };
         drop_hop_headers(&mut head.headers);
         let (answer, answered) = oneshot::channel();
-        let ours = time - ANSWER_MARGIN.min(time / 10);
-        let mut passed = None;
-        let (body, deadline, latest) = match rest {
-            None => (Content::Held(first), came + ours, came + time),
+        let forward_time = time - ANSWER_MARGIN.min(time / 10);
+        let mut upload_in_progress = None;
+        let (body, deadline, answer_by) = match rest {
+            None => (RequestBody::Buffered(buffered), received_at + forward_time, received_at + time),
             Some(rest) => {
                 request.streamed_body = true;
-                let pieces = Pieces::of_client(first, rest);
+                let body = StreamedBody::from_client(buffered, rest);
                 let inbox = self.inbox.clone();
-                let upload = Upload::new(pieces, ours, move |deadline| {
+                let upload = Upload::new(body, forward_time, move |deadline| {
                     let _ = inbox.send(Input::BodyComplete(id, deadline)); // fails only while the process ends
                 });
-                passed = Some(upload.clone());
-                (Content::Passed(upload), came + UPLOAD_MOST, came + UPLOAD_MOST)
+                upload_in_progress = Some(upload.clone());
+                (
+                    RequestBody::Streamed(upload),
+                    received_at + MAX_UPLOAD_TIME,
+                    received_at + MAX_UPLOAD_TIME,
+                )
             }
         };
-        let forward = Forward { method: head.method, uri: head.uri, headers: head.headers, body };
-        let arrival = Arrival { request, deadline, forward, answer };
-        let _ = self.inbox.send(Input::Request(Box::new(arrival)));
+        let forward = ForwardedRequest { method: head.method, uri: head.uri, headers: head.headers, body };
+        let incoming = IncomingRequest { request, deadline, forward, answer };
+        let _ = self.inbox.send(Input::Request(Box::new(incoming)));
         // Where the module were to forget a request, its client would still be told in time.
-        let answer = timeout_at(latest, answered).await;
-        waiting.answered = answer.is_ok();
-        if let Some(upload) = passed.filter(|upload| !upload.is_whole()) {
+        let answer = timeout_at(answer_by, answered).await;
+        in_flight.answered = answer.is_ok();
+        if let Some(upload) = upload_in_progress.filter(|upload| !upload.is_complete()) {
             spawn_local(async move { upload.discard().await });
         }
-        if let Ok(Ok(Answer::Passing(mut passing))) = answer {
-            passing.pieces.owed_by(latest);
-            let (answer, turn) = (Some(*passing), turn.clone());
-            turn.moved.set(Some(Instant::now()));
-            turn.turned.notify_one();
-            let passing =
-                PassingAnswer { answer, taken: Some(taken), turn, _memory: memory, _waiting: waiting };
-            return Ok(Response::new(ReplyBody::Passing(Box::new(passing))));
+        if let Ok(Ok(Answer::Streamed(mut streamed))) = answer {
+            streamed.body.set_deadline(answer_by);
+            let (answer, state) = (Some(*streamed), state.clone());
+            state.last_progress.set(Some(Instant::now()));
+            state.streaming_changed.notify_one();
+            let streamed = StreamedReply {
+                answer,
+                pending_count: Some(pending_count),
+                state,
+                _memory: memory,
+                _request: in_flight,
+            };
+            return Ok(Response::new(ReplyBody::Streamed(Box::new(streamed))));
         }
-        taken.end(match &answer {
+        pending_count.end(match &answer {
             Ok(Ok(Answer::Served(_))) => End::Completed,
             Ok(Ok(Answer::Refused(_))) => End::Rejected,
             _ => End::Failed,
         });
         Ok(match answer {
-            Ok(Ok(Answer::Served(body))) => Response::new(ReplyBody::Held(Full::new(body))),
+            Ok(Ok(Answer::Served(body))) => Response::new(ReplyBody::Buffered(Full::new(body))),
             Ok(Ok(Answer::Refused(retry_after))) => {
-                let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
-                retry_after.into_iter().for_each(|wait| say_when(&mut reply, wait));
+                let mut reply = text_reply(StatusCode::SERVICE_UNAVAILABLE, "refused");
+                retry_after.into_iter().for_each(|wait| set_retry_after(&mut reply, wait));
                 reply
             }
-            Ok(Ok(Answer::Rejected)) => plain(StatusCode::BAD_REQUEST, "the request is at fault"),
-            Ok(Ok(Answer::Failed | Answer::Passing(_)) | Err(_)) => {
-                plain(StatusCode::BAD_GATEWAY, "failed")
+            Ok(Ok(Answer::BadRequest)) => text_reply(StatusCode::BAD_REQUEST, "the request is at fault"),
+            Ok(Ok(Answer::Failed | Answer::Streamed(_)) | Err(_)) => {
+                text_reply(StatusCode::BAD_GATEWAY, "failed")
             }
-            Err(_) => plain(StatusCode::GATEWAY_TIMEOUT, "out of time"),
+            Err(_) => text_reply(StatusCode::GATEWAY_TIMEOUT, "out of time"),
         })
     }
 }
 
 /// Waits for a time; for ever if there is none.
-async fn reached(time: Option<Instant>) {
+async fn sleep_until_some(time: Option<Instant>) {
     match time {
         Some(time) => sleep_until(time).await,
         None => std::future::pending().await,
--- a/src/net/log_text.rs
+++ b/src/net/log_text.rs
@@ -4,11 +4,11 @@
 use tracing::info;
 
 /// Endpoints that one list takes out in a line of the log each; more share one, or they would push other lines out.
-const OWN_LINES: usize = 16;
+const MAX_SEPARATE_LINES: usize = 16;
 
 /// Says in the log which endpoints a list takes out.
-pub fn log_leaving(uids: &[String], state: &str) {
-    if uids.len() > OWN_LINES {
+pub fn log_unavailable(uids: &[String], state: &str) {
+    if uids.len() > MAX_SEPARATE_LINES {
         return info!(endpoints = uids.join(" "), "list: {} are {state}", uids.len());
     }
     for uid in uids {
--- a/src/net/message.rs
+++ b/src/net/message.rs
@@ -2,9 +2,9 @@
 
 use super::list_translator::ListUpdate;
 use super::manual_ejections::ManualEjections;
-use super::outbound::{Ended, Passing, set_time_left};
+use super::outbound::{AttemptEnd, StreamedAnswer, set_time_left};
 use super::progress::Progress;
-use super::streamed_body::{Payload, Upload};
+use super::streamed_body::{AttemptBody, Upload};
 use gullpulley::{AttemptNo, BalancerStats, EndpointId, RequestId};
 use http_body_util::Full;
 use hyper::body::Bytes;
@@ -23,15 +23,15 @@
 /// Something that happened on a socket.
 pub enum Input {
     /// A request has come whole.
-    Request(Box<Arrival>),
+    Request(Box<IncomingRequest>),
     /// The body of a request that was passing has gone on whole; its answer must be on its way by then.
     BodyComplete(RequestId, Instant),
     /// Its client has gone.
     ClientGone(RequestId),
     /// An attempt ended.
-    AttemptEnded(RequestId, AttemptNo, Ended),
+    AttemptEnded(RequestId, AttemptNo, AttemptEnd),
     /// A probe ended; it took so long.
-    ProbeEnded(EndpointId, Ended, Duration),
+    ProbeEnded(EndpointId, AttemptEnd, Duration),
     /// News from discovery.
     ListUpdate(ListUpdate),
     /// The operators ask whether anybody has this uid.
@@ -49,19 +49,19 @@
 }
 
 /// A request as it came in.
-pub struct Arrival {
+pub struct IncomingRequest {
     /// For the module; its time left is set here.
     pub request: gullpulley::Request,
     /// When the answer must be on its way.
     pub deadline: Instant,
     /// What goes on to an endpoint.
-    pub forward: Forward,
+    pub forward: ForwardedRequest,
     /// Where the final answer goes.
     pub answer: oneshot::Sender<Answer>,
 }
 
 /// A request as it goes on to an endpoint.
-pub struct Forward {
+pub struct ForwardedRequest {
     /// Its method.
     pub method: Method,
     /// Path and query.
@@ -69,26 +69,26 @@
     /// End-to-end headers.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: Content,
+    pub body: RequestBody,
 }
 
 /// The body of a request.
-pub enum Content {
+pub enum RequestBody {
     /// Held whole.
-    Held(Bytes),
+    Buffered(Bytes),
     /// Passed on as it comes.
-    Passed(Rc<Upload>),
+    Streamed(Rc<Upload>),
 }
 
-impl Content {
+impl RequestBody {
     /// It has begun to go out, and can't be sent again.
-    pub fn spent(&self) -> bool {
-        matches!(self, Content::Passed(upload) if upload.spent())
+    pub fn is_send_started(&self) -> bool {
+        matches!(self, RequestBody::Streamed(upload) if upload.is_send_started())
     }
 
     /// It came to no proper end.
-    pub fn faulty(&self) -> bool {
-        matches!(self, Content::Passed(upload) if upload.faulty())
+    pub fn failed_at_client(&self) -> bool {
+        matches!(self, RequestBody::Streamed(upload) if upload.failed_at_client())
     }
 }
 
@@ -97,28 +97,28 @@
     /// Served, with the body of an endpoint's answer.
     Served(Bytes),
     /// Served, with a large answer that has begun.
-    Passing(Box<Passing>),
+    Streamed(Box<StreamedAnswer>),
     /// Refused: trying again is harmless, after this long if it is stated.
     Refused(Option<Duration>),
     /// Failed.
     Failed,
     /// Failed by a fault of the request's own.
-    Rejected,
+    BadRequest,
 }
 
-impl Forward {
+impl ForwardedRequest {
     /// Its X-Request-ID.
-    pub fn id(&self) -> &str {
+    pub fn x_request_id(&self) -> &str {
         self.headers.get("x-request-id").and_then(|id| id.to_str().ok()).unwrap_or_default()
     }
 
     /// As an attempt: to this address. One that is held is told its time as it is written.
-    pub fn request(&self, address: SocketAddr, progress: &Rc<Progress>) -> Request<Payload> {
+    pub fn attempt_request(&self, address: SocketAddr, progress: &Rc<Progress>) -> Request<AttemptBody> {
         let body = match &self.body {
-            Content::Held(body) => Payload::Held(Full::new(body.clone())),
-            Content::Passed(upload) => {
-                let (pieces, progress) = (None, progress.clone());
-                Payload::Passed { upload: upload.clone(), pieces, progress }
+            RequestBody::Buffered(body) => AttemptBody::Buffered(Full::new(body.clone())),
+            RequestBody::Streamed(upload) => {
+                let (body, progress) = (None, progress.clone());
+                AttemptBody::Streamed { upload: upload.clone(), body, progress }
             }
         };
         let mut request = Request::new(body);
@@ -128,8 +128,8 @@
         let headers = request.headers_mut();
         let host = HeaderValue::from_str(&address.to_string()).unwrap_or(HeaderValue::from_static(""));
         headers.insert(header::HOST, host);
-        if let Content::Passed(upload) = &self.body {
-            set_time_left(headers, upload.time);
+        if let RequestBody::Streamed(upload) = &self.body {
+            set_time_left(headers, upload.answer_time);
         }
         request
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -8,14 +8,14 @@
 //! `progress`, `streamed_body`: progress of an attempt, streamed bodies;
 //! `outbound`, `discovery`: connections to endpoints and to discovery;
 //! `log_text`, `message`, `pending_request`, `driver`: turn I/O into the policy's events, and carry out its actions;
-//! `process_phase`, `stream`, `request`, `client_connection`, `reply`, `inbound`: phase of this process, client connections, requests and
+//! `process_phase`, `stream`, `request`, `connection_state`, `reply`, `inbound`: phase of this process, client connections, requests and
 //! answers;
 //! `control`: the admin API.
 
 mod abort_on_drop;
 mod budget;
-mod client_connection;
 mod clock;
+mod connection_state;
 mod control;
 mod counters;
 mod discovery;
--- a/src/net/outbound.rs
+++ b/src/net/outbound.rs
@@ -4,7 +4,7 @@
 use super::budget::{Budget, Holder, Permit};
 use super::counters::Counters;
 use super::progress::Progress;
-use super::streamed_body::{LARGE_MOST, Payload, Pieces};
+use super::streamed_body::{AttemptBody, MAX_BODY, StreamedBody};
 use gullpulley::{EndpointId, LoadField, Outcome, Settings, TcpConnection};
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Bytes, Incoming};
@@ -26,23 +26,23 @@
 pub const MAX_CONNECTION_BUFFER: usize = 64 * 1024;
 /// Part of the endpoints' idle time after which we close a connection ourselves: what is written to
 /// one that the endpoint is just closing ends as a reset, and an unsafe request is then lost for good.
-const IDLE_PART: f64 = 0.7;
+const IDLE_SHARE: f64 = 0.7;
 /// Idle connections kept where the settings say nothing of idle time.
-const IDLE_UNSTATED: Duration = Duration::from_secs(5);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How often idle connections are looked over.
-const SWEEP: Duration = Duration::from_millis(500);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// No attempt takes longer to be written than this: a bar need not be remembered beyond it.
-const BAR_KEPT: Duration = Duration::from_secs(60);
+const BLOCK_RETENTION: Duration = Duration::from_secs(60);
 /// A probe that takes longer has failed.
-const PROBE: Duration = Duration::from_secs(1);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 /// An answer once begun comes on within this, also from an endpoint that stands still for a moment: one that
 /// stalls is broken, and to wait on would spend the time for another attempt.
-const ANSWER_GAP: Duration = Duration::from_millis(500);
+const ANSWER_GAP_TIMEOUT: Duration = Duration::from_millis(500);
 /// An answer that does not say how long it is passes through once it has not ended for so long: it may be a large
 /// one, whose first bytes are waited for.
-const PASS_AFTER: Duration = Duration::from_millis(250);
+const STREAM_AFTER: Duration = Duration::from_millis(250);
 /// Limit of an attempt's connection where the settings say nothing.
-const CONNECT_UNSTATED: Duration = Duration::from_millis(500);
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Where an attempt or a probe goes, and what it must keep to.
 #[derive(Clone, Copy)]
@@ -52,11 +52,11 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// When it was decided: what is told of the endpoint later binds, also before this is first worked on.
-    pub decided: Instant,
+    pub decided_at: Instant,
     /// Not to be written later than this, if that is stated.
     pub write_by: Option<Instant>,
     /// How long its answer is waited for, which the endpoint is told; none where the request says so itself.
-    pub until: Option<Instant>,
+    pub announced_deadline: Option<Instant>,
 }
 
 /// Tells an endpoint for how long it is waited for.
@@ -67,47 +67,47 @@
 }
 
 /// How an attempt or a probe ended.
-pub struct Ended {
+pub struct AttemptEnd {
     /// The outcome.
     pub outcome: Outcome,
     /// The body of a 200, as far as it is held.
     pub body: Bytes,
     /// The rest of a large answer, to be passed on.
-    pub passing: Option<Box<Passing>>,
+    pub streamed: Option<Box<StreamedAnswer>>,
     /// The endpoint says that the request itself is at fault: no other would take it either.
-    pub rejected: bool,
+    pub bad_request: bool,
     /// The load report, if one came.
     pub report: Option<Vec<f64>>,
     /// For how long the connection had been open on which an answer came, if one came.
     pub connected_for: Option<Duration>,
 }
 
-impl Ended {
+impl AttemptEnd {
     /// An end that brought nothing but itself.
-    pub fn bare(outcome: Outcome) -> Self {
-        let (body, passing, rejected, report, connected_for) = Default::default();
-        Ended { outcome, body, passing, rejected, report, connected_for }
+    pub fn without_answer(outcome: Outcome) -> Self {
+        let (body, streamed, bad_request, report, connected_for) = Default::default();
+        AttemptEnd { outcome, body, streamed, bad_request, report, connected_for }
     }
 }
 
 /// A large answer that has begun, and its connection.
-pub struct Passing {
+pub struct StreamedAnswer {
     /// What there is of it.
-    pub pieces: Pieces,
+    pub body: StreamedBody,
     endpoint: EndpointId,
-    link: Link,
+    connection: EndpointConnection,
     outbound: Rc<Outbound>,
 }
 
-impl Passing {
+impl StreamedAnswer {
     /// It came whole: its connection can be used again.
-    pub fn whole(self) {
-        self.outbound.keep(self.endpoint, self.link);
+    pub fn complete(self) {
+        self.outbound.return_idle(self.endpoint, self.connection);
     }
 }
 
-struct Link {
-    sender: SendRequest<Payload>,
+struct EndpointConnection {
+    sender: SendRequest<AttemptBody>,
     address: SocketAddr,
     opened: Instant,
     idle_since: Instant,
@@ -120,33 +120,33 @@
 pub struct Outbound {
     budget: Rc<Budget>,
     /// Idle ones, the most recently used last.
-    idle: RefCell<HashMap<EndpointId, Vec<Link>>>,
+    idle: RefCell<HashMap<EndpointId, Vec<EndpointConnection>>>,
     /// When an endpoint was last barred: what was to go there by then and is not yet written stays here.
-    barred: RefCell<HashMap<EndpointId, Instant>>,
+    blocked_at: RefCell<HashMap<EndpointId, Instant>>,
     counters: Rc<Counters>,
     connect_timeout: Duration,
-    idle_most: Duration,
-    fields: Vec<LoadField>,
+    idle_timeout: Duration,
+    load_fields: Vec<LoadField>,
 }
 
 impl Outbound {
     /// No connections yet.
     pub fn new(settings: &Settings, budget: Rc<Budget>, counters: Rc<Counters>) -> Rc<Self> {
         let (connect, idle) = (settings.limits.connect_timeout, settings.limits.idle_close);
-        let or = |time: Duration, unstated| if time.is_zero() { unstated } else { time };
+        let or_default = |time: Duration, default| if time.is_zero() { default } else { time };
         Rc::new(Outbound {
             budget,
             idle: RefCell::default(),
-            barred: RefCell::default(),
+            blocked_at: RefCell::default(),
             counters,
-            connect_timeout: or(connect, CONNECT_UNSTATED),
-            idle_most: or(idle.mul_f64(IDLE_PART), IDLE_UNSTATED),
-            fields: settings.load_reports.fields.clone(),
+            connect_timeout: or_default(connect, DEFAULT_CONNECT_TIMEOUT),
+            idle_timeout: or_default(idle.mul_f64(IDLE_SHARE), DEFAULT_IDLE_TIMEOUT),
+            load_fields: settings.load_reports.fields.clone(),
         })
     }
 
     /// The progress of an attempt that is to be made.
-    pub fn progress(&self) -> Progress {
+    pub fn new_progress(&self) -> Progress {
         Progress::counted(self.counters.clone())
     }
 
@@ -155,130 +155,137 @@
     pub async fn attempt(
         self: &Rc<Self>,
         dispatch: Dispatch,
-        mut request: Request<Payload>,
+        mut request: Request<AttemptBody>,
         progress: &Progress,
-    ) -> Ended {
-        let Dispatch { endpoint, address, decided, write_by, until } = dispatch;
-        let too_late = || write_by.is_some_and(|by| Instant::now() >= by);
-        let (link, response) = loop {
-            let (mut link, fresh) = match self.take_idle(endpoint, address) {
-                Some(link) => (link, false),
+    ) -> AttemptEnd {
+        let Dispatch { endpoint, address, decided_at, write_by, announced_deadline } = dispatch;
+        let past_write_by = || write_by.is_some_and(|by| Instant::now() >= by);
+        let (connection, response) = loop {
+            let (mut connection, fresh) = match self.take_idle(endpoint, address) {
+                Some(connection) => (connection, false),
                 None => match self.connect(address, write_by).await {
-                    Some(link) => (link, true),
-                    None if too_late() => return Ended::bare(Outcome::NotSent),
-                    None => return Ended::bare(Outcome::ConnectFailed),
+                    Some(connection) => (connection, true),
+                    None if past_write_by() => return AttemptEnd::without_answer(Outcome::NotSent),
+                    None => return AttemptEnd::without_answer(Outcome::ConnectFailed),
                 },
             };
             // An idle connection may be found closed only now.
-            if !matches!(timeout(self.connect_timeout, link.sender.ready()).await, Ok(Ok(()))) {
+            if !matches!(timeout(self.connect_timeout, connection.sender.ready()).await, Ok(Ok(()))) {
                 if fresh {
-                    return Ended::bare(Outcome::ConnectFailed);
+                    return AttemptEnd::without_answer(Outcome::ConnectFailed);
                 }
                 continue;
             }
             // Connecting takes time, and what was told meanwhile binds before anything is written.
-            if self.barred.borrow().get(&endpoint).is_some_and(|at| *at >= decided) {
-                return Ended::bare(Outcome::ConnectFailed);
+            if self.blocked_at.borrow().get(&endpoint).is_some_and(|at| *at >= decided_at) {
+                return AttemptEnd::without_answer(Outcome::ConnectFailed);
             }
-            if too_late() {
-                self.keep(endpoint, link);
-                return Ended::bare(Outcome::NotSent);
+            if past_write_by() {
+                self.return_idle(endpoint, connection);
+                return AttemptEnd::without_answer(Outcome::NotSent);
             }
             // Connecting took a part of what the client has left: the endpoint is told what there is now.
-            if let Some(until) = until {
-                set_time_left(request.headers_mut(), until.saturating_duration_since(Instant::now()));
+            if let Some(announced_deadline) = announced_deadline {
+                set_time_left(
+                    request.headers_mut(),
+                    announced_deadline.saturating_duration_since(Instant::now()),
+                );
             }
             // What passes through is written only with its last piece, which sets this itself.
-            let held = matches!(request.body(), Payload::Held(_));
-            progress.set(held);
-            match link.sender.try_send_request(request).await {
-                Ok(response) => break (link, response),
+            let buffered = matches!(request.body(), AttemptBody::Buffered(_));
+            progress.set_written(buffered);
+            match connection.sender.try_send_request(request).await {
+                Ok(response) => break (connection, response),
                 Err(mut error) => match error.take_message() {
                     // Handed back unsent.
                     Some(unsent) => {
-                        progress.set(false);
+                        progress.set_written(false);
                         request = unsent;
                         if fresh {
-                            return Ended::bare(Outcome::ConnectFailed);
+                            return AttemptEnd::without_answer(Outcome::ConnectFailed);
                         }
                     }
                     // Some of it may have been written, so all of it may have come.
-                    None => return Ended::bare(progress.broken()),
+                    None => return AttemptEnd::without_answer(progress.outcome_on_reset()),
                 },
             }
         };
-        let (mut ended, rest) = self.read(response).await;
-        ended.connected_for = Some(link.opened.elapsed());
+        let (mut ended, rest) = self.read_answer(response).await;
+        ended.connected_for = Some(connection.opened.elapsed());
         match rest {
-            Some(pieces) if ended.outcome == Outcome::Ok => {
+            Some(body) if ended.outcome == Outcome::Ok => {
                 let outbound = self.clone();
-                ended.passing = Some(Box::new(Passing { pieces, endpoint, link, outbound }));
+                ended.streamed = Some(Box::new(StreamedAnswer { body, endpoint, connection, outbound }));
             }
             // What else an error has to say is not wanted.
             Some(_) => {}
             // An answer to half a body leaves the other half to be written.
-            None if ended.outcome != Outcome::Reset && progress.is_written() => self.keep(endpoint, link),
+            None if ended.outcome != Outcome::Reset && progress.is_written() => {
+                self.return_idle(endpoint, connection)
+            }
             None => {}
         }
         ended
     }
 
     /// Keeps a connection for later.
-    fn keep(&self, endpoint: EndpointId, mut link: Link) {
-        if !link.sender.is_closed() {
-            link.idle_since = Instant::now();
-            self.idle.borrow_mut().entry(endpoint).or_default().push(link);
+    fn return_idle(&self, endpoint: EndpointId, mut connection: EndpointConnection) {
+        if !connection.sender.is_closed() {
+            connection.idle_since = Instant::now();
+            self.idle.borrow_mut().entry(endpoint).or_default().push(connection);
         }
     }
 
     /// The outcome that an answer stands for. It is read whole first, so that a break half-way is an
     /// outcome and never a torn answer. Of a large one there is a rest, and the outcome is its beginning's.
-    async fn read(&self, response: Response<Incoming>) -> (Ended, Option<Pieces>) {
+    async fn read_answer(&self, response: Response<Incoming>) -> (AttemptEnd, Option<StreamedBody>) {
         let (head, body) = response.into_parts();
-        let never_ran = head.headers.get("x-not-processed").is_some_and(|v| v.as_bytes() == b"1");
+        let not_processed = head.headers.get("x-not-processed").is_some_and(|v| v.as_bytes() == b"1");
         let outcome = match head.status {
             StatusCode::OK => Outcome::Ok,
-            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if never_ran => {
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_processed => {
                 Outcome::NotProcessed
             }
             _ => Outcome::Error,
         };
-        let rejected = matches!(head.status, StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND);
+        let bad_request = matches!(head.status, StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND);
         let report = self.inline_report(&head.headers);
-        let ended = |body| Ended { body, rejected, report, ..Ended::bare(outcome) };
-        match hold(body).await {
-            Some(Held::Whole(body)) => (ended(body), None),
-            Some(Held::Large(pieces)) => (ended(Bytes::new()), Some(pieces)),
+        let ended = |body| AttemptEnd { body, bad_request, report, ..AttemptEnd::without_answer(outcome) };
+        match buffer_answer(body).await {
+            Some(AnswerBody::Buffered(body)) => (ended(body), None),
+            Some(AnswerBody::Streamed(body)) => (ended(Bytes::new()), Some(body)),
             // The head of a refusal says it all, whatever became of its body.
-            None if outcome == Outcome::NotProcessed => (Ended::bare(Outcome::NotProcessed), None),
-            None => (Ended::bare(Outcome::Reset), None),
+            None if outcome == Outcome::NotProcessed => {
+                (AttemptEnd::without_answer(Outcome::NotProcessed), None)
+            }
+            None => (AttemptEnd::without_answer(Outcome::Reset), None),
         }
     }
 
     /// Asks an endpoint for its health, and its load where the deployment has reports.
-    pub async fn probe(self: &Rc<Self>, endpoint: EndpointId, address: SocketAddr) -> Ended {
-        let path = if self.fields.is_empty() { "/-/healthy" } else { "/-/load" };
+    pub async fn probe(self: &Rc<Self>, endpoint: EndpointId, address: SocketAddr) -> AttemptEnd {
+        let path = if self.load_fields.is_empty() { "/-/healthy" } else { "/-/load" };
         let request = Request::get(path).header(header::HOST, address.to_string());
-        let Ok(request) = request.body(Payload::Held(Full::default())) else {
-            return Ended::bare(Outcome::Error);
+        let Ok(request) = request.body(AttemptBody::Buffered(Full::default())) else {
+            return AttemptEnd::without_answer(Outcome::Error);
         };
-        let (progress, decided) = (Progress::default(), Instant::now());
-        let dispatch = Dispatch { endpoint, address, decided, write_by: None, until: None };
-        match timeout(PROBE, self.attempt(dispatch, request, &progress)).await {
+        let (progress, decided_at) = (Progress::default(), Instant::now());
+        let dispatch = Dispatch { endpoint, address, decided_at, write_by: None, announced_deadline: None };
+        match timeout(PROBE_TIMEOUT, self.attempt(dispatch, request, &progress)).await {
             Ok(mut ended) => {
                 let body = std::mem::take(&mut ended.body);
-                let in_body = std::str::from_utf8(&body).ok().and_then(|text| self.report(text));
+                let in_body = std::str::from_utf8(&body).ok().and_then(|text| self.parse_report(text));
                 ended.report = in_body.or(ended.report);
                 ended
             }
-            Err(_) => Ended::bare(progress.given_up()),
+            Err(_) => AttemptEnd::without_answer(progress.outcome_on_timeout()),
         }
     }
 
     /// Lets nothing go to an endpoint any more that is not written yet.
-    pub fn bar(&self, endpoint: EndpointId) {
+    pub fn block_unwritten(&self, endpoint: EndpointId) {
         self.close_idle(endpoint);
-        self.barred.borrow_mut().insert(endpoint, Instant::now());
+        self.blocked_at.borrow_mut().insert(endpoint, Instant::now());
     }
 
     /// Closes idle connections to an endpoint.
@@ -289,9 +296,9 @@
     /// Closes idle connections to an endpoint on which nothing was heard since then: a machine that is
     /// cut off leaves them open and silent, and each would cost one more request all its time, where a
     /// new connection fails at once and proves that nothing ran.
-    pub fn close_unheard(&self, endpoint: EndpointId, since: Instant) {
-        if let Some(links) = self.idle.borrow_mut().get_mut(&endpoint) {
-            links.retain(|link| link.idle_since > since);
+    pub fn close_idle_before(&self, endpoint: EndpointId, since: Instant) {
+        if let Some(connections) = self.idle.borrow_mut().get_mut(&endpoint) {
+            connections.retain(|connection| connection.idle_since > since);
         }
     }
 
@@ -303,37 +310,39 @@
     /// Closes the connection that has been idle longest; false if there is none.
     pub fn close_oldest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.iter().filter_map(|(id, links)| Some((links.first()?.idle_since, *id))).min();
+        let oldest =
+            idle.iter().filter_map(|(id, connections)| Some((connections.first()?.idle_since, *id))).min();
         let Some((_, id)) = oldest else { return false };
-        idle.get_mut(&id).map(|links| links.remove(0)).is_some()
+        idle.get_mut(&id).map(|connections| connections.remove(0)).is_some()
     }
 
     /// Closes, from time to time, what has idled for too long or was closed by the endpoint, and forgets old bars.
     pub async fn sweep(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(SWEEP).await;
-            self.idle.borrow_mut().retain(|_, links| {
-                links.retain(|link| self.usable(link));
-                !links.is_empty()
+            tokio::time::sleep(SWEEP_INTERVAL).await;
+            self.idle.borrow_mut().retain(|_, connections| {
+                connections.retain(|connection| self.usable(connection));
+                !connections.is_empty()
             });
             // Not at each bar: a list may bar all endpoints at once, and to look at all for each costs the square.
-            self.barred.borrow_mut().retain(|_, at| at.elapsed() < BAR_KEPT);
+            self.blocked_at.borrow_mut().retain(|_, at| at.elapsed() < BLOCK_RETENTION);
         }
     }
 
-    fn usable(&self, link: &Link) -> bool {
-        !link.sender.is_closed() && link.idle_since.elapsed() < self.idle_most
+    fn usable(&self, connection: &EndpointConnection) -> bool {
+        !connection.sender.is_closed() && connection.idle_since.elapsed() < self.idle_timeout
     }
 
     /// The most recently used idle connection: the others may then age and be closed.
-    fn take_idle(&self, endpoint: EndpointId, address: SocketAddr) -> Option<Link> {
+    fn take_idle(&self, endpoint: EndpointId, address: SocketAddr) -> Option<EndpointConnection> {
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(&endpoint)?;
+        let connections = idle.get_mut(&endpoint)?;
         // At another address another machine may listen by now.
-        std::iter::from_fn(|| links.pop()).find(|link| link.address == address && self.usable(link))
+        std::iter::from_fn(|| connections.pop())
+            .find(|connection| connection.address == address && self.usable(connection))
     }
 
-    async fn connect(&self, address: SocketAddr, by: Option<Instant>) -> Option<Link> {
+    async fn connect(&self, address: SocketAddr, write_by: Option<Instant>) -> Option<EndpointConnection> {
         let permit = loop {
             match self.budget.take(Holder::Endpoint) {
                 Some(permit) => break permit,
@@ -343,13 +352,13 @@
         };
         // A machine that is cut off never answers: without a limit of ours the attempt would hang.
         let until = Instant::now() + self.connect_timeout;
-        let until = by.map_or(until, |by| by.min(until));
+        let until = write_by.map_or(until, |by| by.min(until));
         let connection = timeout_at(until, TcpConnection::connect(address)).await.ok()?.ok()?;
         let connection = TokioIo::new(connection);
         let handshake = http1::Builder::new().max_buf_size(MAX_CONNECTION_BUFFER).handshake(connection);
         let (sender, connection) = handshake.await.ok()?;
         let task = spawn_local(connection);
-        Some(Link {
+        Some(EndpointConnection {
             sender,
             address,
             opened: Instant::now(),
@@ -360,58 +369,61 @@
     }
 
     fn inline_report(&self, headers: &HeaderMap) -> Option<Vec<f64>> {
-        self.report(headers.get("x-server-load")?.to_str().ok()?)
+        self.parse_report(headers.get("x-server-load")?.to_str().ok()?)
     }
 
     /// The values of the settings' fields, in their order; none unless all are there.
-    fn report(&self, text: &str) -> Option<Vec<f64>> {
+    fn parse_report(&self, text: &str) -> Option<Vec<f64>> {
         let value = |field: &LoadField| {
             let pairs = text.trim().split(',').filter_map(|pair| pair.split_once('='));
-            let (_, value) = pairs.into_iter().find(|(name, _)| *name == wire_name(*field))?;
+            let (_, value) = pairs.into_iter().find(|(name, _)| *name == report_key(*field))?;
             value.trim().parse::<f64>().ok().filter(|v| v.is_finite())
         };
-        if self.fields.is_empty() {
+        if self.load_fields.is_empty() {
             return None;
         }
-        self.fields.iter().map(value).collect()
+        self.load_fields.iter().map(value).collect()
     }
 }
 
 /// What of an answer is held.
-enum Held {
-    Whole(Bytes),
-    Large(Pieces),
+enum AnswerBody {
+    Buffered(Bytes),
+    Streamed(StreamedBody),
 }
 
 /// Reads an answer as far as it is held; none if it breaks or stalls before.
-async fn hold(mut body: Incoming) -> Option<Held> {
+async fn buffer_answer(mut body: Incoming) -> Option<AnswerBody> {
     let size = body.size_hint();
-    if size.lower() > LARGE_MOST {
+    if size.lower() > MAX_BODY {
         return None; // no endpoint gives so much: what announces it is spoilt
     }
     if size.lower() > MAX_BUFFERED_BODY as u64 {
-        return Some(Held::Large(Pieces::of_endpoint(Bytes::new(), body)));
+        return Some(AnswerBody::Streamed(StreamedBody::from_endpoint(Bytes::new(), body)));
     }
-    let began = Instant::now();
-    let mut text = Vec::new();
+    let started_at = Instant::now();
+    let mut buffer = Vec::new();
     loop {
-        let gap_ends = Instant::now() + ANSWER_GAP;
-        let until = if size.exact().is_some() { gap_ends } else { gap_ends.min(began + PASS_AFTER) };
+        let gap_deadline = Instant::now() + ANSWER_GAP_TIMEOUT;
+        let until =
+            if size.exact().is_some() { gap_deadline } else { gap_deadline.min(started_at + STREAM_AFTER) };
         match timeout_at(until, body.frame()).await {
-            Ok(Some(frame)) => text.extend_from_slice(frame.ok()?.data_ref().map_or(&[][..], |data| data)),
-            Ok(None) => return Some(Held::Whole(text.into())),
-            Err(_) if until < gap_ends => break,
+            Ok(Some(frame)) => {
+                buffer.extend_from_slice(frame.ok()?.data_ref().map_or(&[][..], |data| data))
+            }
+            Ok(None) => return Some(AnswerBody::Buffered(buffer.into())),
+            Err(_) if until < gap_deadline => break,
             Err(_) => return None,
         }
-        if text.len() > MAX_BUFFERED_BODY {
+        if buffer.len() > MAX_BUFFERED_BODY {
             break;
         }
     }
-    Some(Held::Large(Pieces::of_endpoint(text.into(), body)))
+    Some(AnswerBody::Streamed(StreamedBody::from_endpoint(buffer.into(), body)))
 }
 
 /// A load report's field as endpoints name it.
-fn wire_name(field: LoadField) -> &'static str {
+fn report_key(field: LoadField) -> &'static str {
     match field {
         LoadField::Outstanding => "inflight",
         LoadField::Backlog => "queue",
--- a/src/net/pending_request.rs
+++ b/src/net/pending_request.rs
@@ -1,6 +1,6 @@
 //! Requests without a final answer or with attempts in flight, as the driver keeps them.
 
-use super::message::{Answer, Forward};
+use super::message::{Answer, ForwardedRequest};
 use super::progress::Progress;
 use gullpulley::EndpointId;
 use std::rc::Rc;
@@ -32,7 +32,7 @@
 /// A request until it has its final answer and all its attempts have ended.
 pub struct PendingRequest {
     /// What is forwarded to endpoints.
-    pub forward: Forward,
+    pub forward: ForwardedRequest,
     /// When the answer must be on its way.
     pub deadline: Instant,
     /// None once the request is finished, so that there is never a second final answer.
--- a/src/net/process_phase.rs
+++ b/src/net/process_phase.rs
@@ -11,12 +11,12 @@
     Draining,
     /// Its time is up: what was open has been failed. What comes whole from now on is refused; sent on, it would be lost
     /// as the process ends.
-    GivenUp,
+    DrainTimedOut,
 }
 
 impl Phase {
     /// Told to end.
-    pub fn ending(self) -> bool {
+    pub fn is_ending(self) -> bool {
         self >= Phase::Draining
     }
 }
--- a/src/net/progress.rs
+++ b/src/net/progress.rs
@@ -20,12 +20,12 @@
     }
 
     /// The outcome of no longer waiting: nothing written proves that it never ran.
-    pub fn given_up(&self) -> Outcome {
+    pub fn outcome_on_timeout(&self) -> Outcome {
         if self.written.get() { Outcome::TimedOut } else { Outcome::ConnectFailed }
     }
 
     /// The outcome of being called off: nothing written means not sent.
-    pub fn cancelled(&self) -> Outcome {
+    pub fn outcome_on_cancel(&self) -> Outcome {
         if self.written.get() { Outcome::Cancelled } else { Outcome::NotSent }
     }
 
@@ -35,12 +35,12 @@
     }
 
     /// The outcome of a connection that broke.
-    pub fn broken(&self) -> Outcome {
+    pub fn outcome_on_reset(&self) -> Outcome {
         if self.written.get() { Outcome::Reset } else { Outcome::ConnectFailed }
     }
 
     /// It is being written, or was handed back.
-    pub fn set(&self, written: bool) {
+    pub fn set_written(&self, written: bool) {
         if self.written.replace(written) != written
             && let Some(counters) = &self.counters
         {
--- a/src/net/request.rs
+++ b/src/net/request.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, timeout_at};
 
 /// Bytes a second that a body must keep to besides: half of the slowest that clients send.
-const BODY_PACE: f64 = 32_000.0;
+const MIN_BODY_RATE: f64 = 32_000.0;
 
 /// What requests may say: the settings, and the names in them.
 pub struct RequestParser {
@@ -37,27 +37,27 @@
         headers: &HeaderMap,
     ) -> Result<(gullpulley::Request, Duration), (StatusCode, &'static str)> {
         let bad = |problem| (StatusCode::BAD_REQUEST, problem);
-        let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
+        let header = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         let class = self.class(uri).ok_or((StatusCode::NOT_FOUND, "unknown class"))?;
-        if text("x-request-id").is_none_or(str::is_empty) {
+        if header("x-request-id").is_none_or(str::is_empty) {
             return Err(bad("X-Request-ID is missing"));
         }
-        let keyed = headers.contains_key("idempotency-key");
-        let (wanted, key_wanted) = match self.settings.classes[class].semantics {
-            Semantics::Safe => (Method::GET, keyed),
+        let has_key = headers.contains_key("idempotency-key");
+        let (expected_method, key_expected) = match self.settings.classes[class].semantics {
+            Semantics::Safe => (Method::GET, has_key),
             Semantics::Keyed { .. } => (Method::POST, true),
             Semantics::Unsafe => (Method::POST, false),
         };
-        if *method != wanted {
+        if *method != expected_method {
             return Err((StatusCode::METHOD_NOT_ALLOWED, "not the class's method"));
         }
-        if keyed != key_wanted {
+        if has_key != key_expected {
             return Err(bad("Idempotency-Key does not go with the class"));
         }
-        let time = text("x-timeout").and_then(parse_timeout).ok_or(bad("X-Timeout is missing or bad"))?;
+        let time = header("x-timeout").and_then(parse_timeout).ok_or(bad("X-Timeout is missing or bad"))?;
         // However long a client says that it waits: what is kept for a request must not pile up.
         let time = time.min(self.settings.classes[class].deadline);
-        let tenant = match text("x-tenant-id") {
+        let tenant = match header("x-tenant-id") {
             _ if self.tenants.is_empty() => 0,
             Some(name) => {
                 self.tenants.iter().position(|tenant| tenant == name).ok_or(bad("unknown tenant"))?
@@ -67,7 +67,7 @@
         let query = uri.query().unwrap_or_default().split('&');
         let user = query.filter_map(|pair| pair.strip_prefix("user=")).next();
         let work_hint =
-            text("x-cost").map(|cost| micros(cost, 1.0).ok_or(bad("X-Cost is bad"))).transpose()?;
+            header("x-cost").map(|cost| micros(cost, 1.0).ok_or(bad("X-Cost is bad"))).transpose()?;
         let request = gullpulley::Request {
             id: RequestId(0),
             class: ClassId(class),
@@ -76,8 +76,8 @@
             work_hint,
             key: user.and_then(|user| u64::from_str_radix(user, 16).ok()),
             streamed_body: false,
-            client_retry: text("x-retried") == Some("1"),
-            write: text("x-attrs")
+            client_retry: header("x-retried") == Some("1"),
+            write: header("x-attrs")
                 .is_some_and(|attrs| attrs.split(',').any(|attr| attr.trim() == "write=1")),
         };
         Ok((request, time))
@@ -85,21 +85,21 @@
 }
 
 /// Reads a body as far as it is held; with the rest of a longer one.
-pub async fn hold(
+pub async fn buffer_body(
     mut body: Incoming,
-    lag_until: Instant,
+    lag_deadline: Instant,
 ) -> Result<(Bytes, Option<Incoming>), (StatusCode, &'static str)> {
-    let mut text = Vec::new();
-    while text.len() <= MAX_BUFFERED_BODY {
-        let until = lag_until + Duration::from_secs_f64(text.len() as f64 / BODY_PACE);
+    let mut buffer = Vec::new();
+    while buffer.len() <= MAX_BUFFERED_BODY {
+        let until = lag_deadline + Duration::from_secs_f64(buffer.len() as f64 / MIN_BODY_RATE);
         match timeout_at(until, body.frame()).await {
-            Ok(Some(Ok(frame))) => text.extend_from_slice(frame.data_ref().map_or(&[][..], |data| data)),
+            Ok(Some(Ok(frame))) => buffer.extend_from_slice(frame.data_ref().map_or(&[][..], |data| data)),
             Ok(Some(Err(_))) => return Err((StatusCode::BAD_REQUEST, "body broken")),
-            Ok(None) => return Ok((text.into(), None)),
+            Ok(None) => return Ok((buffer.into(), None)),
             Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "body never came")),
         }
     }
-    Ok((text.into(), Some(body)))
+    Ok((buffer.into(), Some(body)))
 }
 
 /// A number and its unit: `m` for milliseconds or `u` for microseconds.
@@ -119,13 +119,13 @@
 
 /// Removes what concerns the client's connection alone, and what is set anew for each attempt.
 pub fn drop_hop_headers(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = (headers.get_all(header::CONNECTION).iter())
+    let connection_headers: Vec<HeaderName> = (headers.get_all(header::CONNECTION).iter())
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .filter(|name| *name != "x-request-id" && *name != "idempotency-key")
         .collect();
-    for name in named {
+    for name in connection_headers {
         headers.remove(name);
     }
     for name in [
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -16,9 +16,9 @@
 /// what the system has not yet delivered goes with it: time for that to be sent once more, and read ...
 const LINGER_GAP: Duration = Duration::from_millis(300);
 /// ... and no longer than this in all: it keeps its descriptor meanwhile.
-const LINGER_MOST: Duration = Duration::from_secs(2);
+const MAX_LINGER: Duration = Duration::from_secs(2);
 /// Bytes thrown away at once.
-const SCRATCH: usize = 4096;
+const DISCARD_BUFFER: usize = 4096;
 
 /// One handle of a client's connection, which closes with the last of them.
 #[derive(Clone)]
@@ -32,25 +32,25 @@
 
     /// Waits until the client has closed or reset it, or ended its side, while `matters` holds. The HTTP library
     /// would not look as long as it has bytes of a next request.
-    pub async fn left(&self, matters: impl Fn() -> bool) {
+    pub async fn client_left(&self, relevant: impl Fn() -> bool) {
         // Nothing is urgent here, so that only the end of the other side makes this ready.
         let mut ended = pin!(self.0.ready(Interest::PRIORITY));
-        let mut over = false;
+        let mut ended_seen = false;
         poll_fn(|context| {
-            over = over || ended.as_mut().poll(context).is_ready();
-            if over && matters() { Poll::Ready(()) } else { Poll::Pending }
+            ended_seen = ended_seen || ended.as_mut().poll(context).is_ready();
+            if ended_seen && relevant() { Poll::Ready(()) } else { Poll::Pending }
         })
         .await;
     }
 
     /// Ends the writing side, and reads on until the client ends its own or rests.
     pub async fn close(self) {
-        let most = Instant::now() + LINGER_MOST;
-        let mut scratch = [0; SCRATCH];
+        let deadline = Instant::now() + MAX_LINGER;
+        let mut buffer = [0; DISCARD_BUFFER];
         let _ = self.0.end_writing(); // fails where the client has gone, which the next read tells
         let readable = || self.0.ready(Interest::READABLE);
-        while let Ok(Ok(_)) = timeout_at(most.min(Instant::now() + LINGER_GAP), readable()).await {
-            match self.0.try_read(&mut scratch) {
+        while let Ok(Ok(_)) = timeout_at(deadline.min(Instant::now() + LINGER_GAP), readable()).await {
+            match self.0.try_read(&mut buffer) {
                 Ok(1..) => yield_now().await, // a flood must not hold up others
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
                 Ok(0) | Err(_) => return,
--- a/src/net/streamed_body.rs
+++ b/src/net/streamed_body.rs
@@ -16,25 +16,25 @@
 use tokio::time::{Instant, Sleep, sleep, sleep_until, timeout_at};
 
 /// No body on the wire is longer.
-pub const LARGE_MOST: u64 = 32 << 20;
+pub const MAX_BODY: u64 = 32 << 20;
 /// A client whose body stands still for this long is not sending it any more.
-const BODY_STALL: Duration = Duration::from_secs(3);
+const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// An endpoint that takes nothing more of a body for this long does not stand there any more.
-const STUCK_MOST: Duration = Duration::from_secs(5);
+const UPLOAD_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// An endpoint whose answer stands still for this long is not giving it any more.
-const ANSWER_STALL: Duration = Duration::from_secs(10);
+const ANSWER_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Bytes a second that an answer of no stated length has to come at once its client's time is up, and what it may lag
 /// behind that: half of the slowest body. One that trickles on would never end.
-const ANSWER_PACE: f64 = 32_000.0;
-const ANSWER_LAG: Duration = Duration::from_secs(3);
+const MIN_ANSWER_RATE: f64 = 32_000.0;
+const MAX_ANSWER_LAG: Duration = Duration::from_secs(3);
 
 /// How often and how long what is left of a body is looked for.
-const RETURN_LOOKS: u32 = 50;
-const RETURN_LOOK: Duration = Duration::from_millis(10);
+const DISCARD_TRIES: u32 = 50;
+const DISCARD_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Why a body ends before its time.
 #[derive(Debug, Error)]
-pub enum PassError {
+pub enum BodyError {
     /// Its sender broke off, or broke the framing.
     #[error("the body broke: {0}")]
     Broken(#[from] hyper::Error),
@@ -49,158 +49,188 @@
     Endless,
     /// It has been passed on before.
     #[error("the body is spent")]
-    Spent,
+    Consumed,
 }
 
 /// Pieces as they come: those read already, then the rest.
-pub struct Pieces {
-    first: Option<Bytes>,
+pub struct StreamedBody {
+    buffered: Option<Bytes>,
     rest: Incoming,
-    passed: u64,
-    stall: Duration,
+    received_bytes: u64,
+    stall_timeout: Duration,
     /// Set while a piece is waited for, and only then: it is the reader's matter when it asks for one.
-    waiting: Option<Pin<Box<Sleep>>>,
+    stall_timer: Option<Pin<Box<Sleep>>>,
     /// When the reader's time is up; known for an answer.
-    owed_by: Option<Instant>,
+    deadline: Option<Instant>,
     /// For how long its sender was waited for.
-    waited: Duration,
+    total_wait: Duration,
     /// Since when it is.
-    waits: Option<Instant>,
+    waiting_since: Option<Instant>,
 }
 
-impl Pieces {
+impl StreamedBody {
     /// A client's body.
-    pub fn of_client(first: Bytes, rest: Incoming) -> Self {
-        Pieces::new(first, rest, BODY_STALL)
+    pub fn from_client(buffered: Bytes, rest: Incoming) -> Self {
+        StreamedBody::new(buffered, rest, CLIENT_STALL_TIMEOUT)
     }
 
     /// An endpoint's answer.
-    pub fn of_endpoint(first: Bytes, rest: Incoming) -> Self {
-        Pieces::new(first, rest, ANSWER_STALL)
+    pub fn from_endpoint(buffered: Bytes, rest: Incoming) -> Self {
+        StreamedBody::new(buffered, rest, ANSWER_STALL_TIMEOUT)
     }
 
-    fn new(first: Bytes, rest: Incoming, stall: Duration) -> Self {
-        let first = Some(first).filter(|b| !b.is_empty());
-        let (owed_by, waited, waits) = Default::default();
-        Pieces { first, rest, passed: 0, stall, waiting: None, owed_by, waited, waits }
+    fn new(buffered: Bytes, rest: Incoming, stall_timeout: Duration) -> Self {
+        let buffered = Some(buffered).filter(|b| !b.is_empty());
+        let (deadline, total_wait, waiting_since) = Default::default();
+        StreamedBody {
+            buffered,
+            rest,
+            received_bytes: 0,
+            stall_timeout,
+            stall_timer: None,
+            deadline,
+            total_wait,
+            waiting_since,
+        }
     }
 
     /// Says when the reader's time is up.
-    pub fn owed_by(&mut self, at: Instant) {
-        self.owed_by = Some(at);
+    pub fn set_deadline(&mut self, at: Instant) {
+        self.deadline = Some(at);
     }
 
     /// When it is plain that it never ends, if it goes on as it does.
     fn endless_at(&self) -> Option<Instant> {
-        let owed_by = self.owed_by.filter(|_| self.rest.size_hint().exact().is_none())?;
-        let allowed = ANSWER_LAG + Duration::from_secs_f64(self.passed as f64 / ANSWER_PACE);
-        let since = self.waits.unwrap_or_else(Instant::now);
-        Some(owed_by.max(since + allowed.saturating_sub(self.waited)))
+        let deadline = self.deadline.filter(|_| self.rest.size_hint().exact().is_none())?;
+        let allowed =
+            MAX_ANSWER_LAG + Duration::from_secs_f64(self.received_bytes as f64 / MIN_ANSWER_RATE);
+        let since = self.waiting_since.unwrap_or_else(Instant::now);
+        Some(deadline.max(since + allowed.saturating_sub(self.total_wait)))
     }
 
     /// All of it has been handed on.
-    pub fn over(&self) -> bool {
-        self.first.is_none() && self.rest.is_end_stream()
+    pub fn is_complete(&self) -> bool {
+        self.buffered.is_none() && self.rest.is_end_stream()
     }
 
     /// What is still to come, as far as it is known.
-    pub fn size(&self) -> SizeHint {
-        let first = self.first.as_ref().map_or(0, |b| b.len() as u64);
+    pub fn size_hint(&self) -> SizeHint {
+        let buffered = self.buffered.as_ref().map_or(0, |b| b.len() as u64);
         let rest = self.rest.size_hint();
         let mut size = SizeHint::new();
-        size.set_lower(first + rest.lower());
+        size.set_lower(buffered + rest.lower());
         if let Some(upper) = rest.upper() {
-            size.set_upper(first + upper);
+            size.set_upper(buffered + upper);
         }
         size
     }
 
     /// The next piece.
-    pub fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, PassError>>> {
-        if let Some(first) = self.first.take() {
-            self.passed += first.len() as u64;
-            return Poll::Ready(Some(Ok(Frame::data(first))));
+    pub fn poll_frame(
+        &mut self,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        if let Some(buffered) = self.buffered.take() {
+            self.received_bytes += buffered.len() as u64;
+            return Poll::Ready(Some(Ok(Frame::data(buffered))));
         }
-        let Poll::Ready(piece) = Pin::new(&mut self.rest).poll_frame(context) else {
-            self.waits.get_or_insert_with(Instant::now);
+        let Poll::Ready(frame) = Pin::new(&mut self.rest).poll_frame(context) else {
+            self.waiting_since.get_or_insert_with(Instant::now);
             let endless = self.endless_at();
-            let stalled = Instant::now() + self.stall;
+            let stalled = Instant::now() + self.stall_timeout;
             let until = endless.map_or(stalled, |at| at.min(stalled));
-            let waiting = self.waiting.get_or_insert_with(|| Box::pin(sleep_until(until)));
-            ready!(waiting.as_mut().poll(context));
-            let over = endless.is_some_and(|at| at <= Instant::now());
-            return Poll::Ready(Some(Err(if over { PassError::Endless } else { PassError::Stalled })));
+            let stall_timer = self.stall_timer.get_or_insert_with(|| Box::pin(sleep_until(until)));
+            ready!(stall_timer.as_mut().poll(context));
+            let endless_now = endless.is_some_and(|at| at <= Instant::now());
+            return Poll::Ready(Some(Err(if endless_now {
+                BodyError::Endless
+            } else {
+                BodyError::Stalled
+            })));
         };
-        self.waiting = None;
-        self.waited += self.waits.take().map(|since| since.elapsed()).unwrap_or_default();
-        if piece.is_some() && self.endless_at().is_some_and(|at| at < Instant::now()) {
-            return Poll::Ready(Some(Err(PassError::Endless)));
+        self.stall_timer = None;
+        self.total_wait += self.waiting_since.take().map(|since| since.elapsed()).unwrap_or_default();
+        if frame.is_some() && self.endless_at().is_some_and(|at| at < Instant::now()) {
+            return Poll::Ready(Some(Err(BodyError::Endless)));
         }
-        let Some(piece) = piece else { return Poll::Ready(None) };
-        let piece = piece?;
-        self.passed += piece.data_ref().map_or(0, |data| data.len() as u64);
-        if self.passed > LARGE_MOST {
-            return Poll::Ready(Some(Err(PassError::TooLong)));
+        let Some(frame) = frame else { return Poll::Ready(None) };
+        let frame = frame?;
+        self.received_bytes += frame.data_ref().map_or(0, |data| data.len() as u64);
+        if self.received_bytes > MAX_BODY {
+            return Poll::Ready(Some(Err(BodyError::TooLong)));
         }
-        Poll::Ready(Some(Ok(piece)))
+        Poll::Ready(Some(Ok(frame)))
     }
 }
 
 /// A client's large body, until an attempt begins to pass it on.
 pub struct Upload {
     /// All of it before an attempt has it, and what the attempt has left after that.
-    pieces: RefCell<Option<Pieces>>,
-    spent: Cell<bool>,
+    body: RefCell<Option<StreamedBody>>,
+    send_started: Cell<bool>,
     /// It broke off, stalled or grew too long: the client's fault, and no endpoint's.
-    faulty: Cell<bool>,
+    failed_at_client: Cell<bool>,
     size: SizeHint,
     /// What the client gives from its last byte on, less what is kept back for the answer.
-    pub time: Duration,
+    pub answer_time: Duration,
     /// When the answer must be on its way; known once the body has come whole.
     deadline: watch::Sender<Option<Instant>>,
     /// When a piece last went on.
-    moved: Cell<Instant>,
+    last_progress: Cell<Instant>,
     /// Told the deadline once the body has come whole.
-    when_whole: Box<dyn Fn(Instant)>,
+    on_complete: Box<dyn Fn(Instant)>,
 }
 
 impl Upload {
     /// One that nobody has begun to pass on; `when_whole` is told the deadline once its last byte has come.
-    pub fn new(pieces: Pieces, time: Duration, when_whole: impl Fn(Instant) + 'static) -> Rc<Self> {
-        let (size, deadline) = (pieces.size(), watch::Sender::new(None));
-        let (pieces, moved) = (RefCell::new(Some(pieces)), Cell::new(Instant::now()));
-        let (spent, faulty) = Default::default();
-        let when_whole = Box::new(when_whole);
-        Rc::new(Upload { pieces, spent, faulty, size, time, deadline, moved, when_whole })
+    pub fn new(
+        body: StreamedBody,
+        answer_time: Duration,
+        on_complete: impl Fn(Instant) + 'static,
+    ) -> Rc<Self> {
+        let (size, deadline) = (body.size_hint(), watch::Sender::new(None));
+        let (body, last_progress) = (RefCell::new(Some(body)), Cell::new(Instant::now()));
+        let (send_started, failed_at_client) = Default::default();
+        let on_complete = Box::new(on_complete);
+        Rc::new(Upload {
+            body,
+            send_started,
+            failed_at_client,
+            size,
+            answer_time,
+            deadline,
+            last_progress,
+            on_complete,
+        })
     }
 
     /// It has begun to go out, and can't be sent again.
-    pub fn spent(&self) -> bool {
-        self.spent.get()
+    pub fn is_send_started(&self) -> bool {
+        self.send_started.get()
     }
 
     /// It came to no proper end.
-    pub fn faulty(&self) -> bool {
-        self.faulty.get()
+    pub fn failed_at_client(&self) -> bool {
+        self.failed_at_client.get()
     }
 
     /// All of it has come and been handed on.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.deadline.borrow().is_some()
     }
 
     /// Waits until the time of a body that came whole is up, or until one stands still on its way.
-    pub async fn out_of_time(&self) {
+    pub async fn timed_out(&self) {
         let mut deadline = self.deadline.subscribe();
-        self.moved.set(Instant::now());
+        self.last_progress.set(Instant::now());
         loop {
-            let stuck = self.moved.get() + STUCK_MOST;
-            match timeout_at(stuck, deadline.wait_for(Option::is_some))
+            let stalled_at = self.last_progress.get() + UPLOAD_STALL_TIMEOUT;
+            match timeout_at(stalled_at, deadline.wait_for(Option::is_some))
                 .await
                 .map(|known| known.ok().and_then(|at| *at))
             {
                 Ok(Some(at)) => return sleep_until(at).await,
-                Err(_) if self.moved.get() + STUCK_MOST > Instant::now() => {}
+                Err(_) if self.last_progress.get() + UPLOAD_STALL_TIMEOUT > Instant::now() => {}
                 _ => return,
             }
         }
@@ -209,52 +239,52 @@
     /// Reads what is left of a body that was answered before it had come whole, and drops it: its client is
     /// still writing, and to close on it would cost it the answer.
     pub async fn discard(&self) {
-        for _ in 0..RETURN_LOOKS {
-            let pieces = self.pieces.borrow_mut().take();
-            if let Some(mut pieces) = pieces {
-                while let Some(Ok(_)) = poll_fn(|context| pieces.poll(context)).await {}
+        for _ in 0..DISCARD_TRIES {
+            let body = self.body.borrow_mut().take();
+            if let Some(mut body) = body {
+                while let Some(Ok(_)) = poll_fn(|context| body.poll_frame(context)).await {}
                 return;
             }
-            sleep(RETURN_LOOK).await; // until the attempt that had it has ended
+            sleep(DISCARD_INTERVAL).await; // until the attempt that had it has ended
         }
     }
 
     /// The last byte has come, and been handed on.
-    fn whole(&self) {
-        let deadline = Instant::now() + self.time;
+    fn complete(&self) {
+        let deadline = Instant::now() + self.answer_time;
         self.deadline.send_replace(Some(deadline));
-        (self.when_whole)(deadline);
+        (self.on_complete)(deadline);
     }
 }
 
 /// The body of an attempt.
-pub enum Payload {
+pub enum AttemptBody {
     /// Held whole, and can be sent again.
-    Held(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// Passed on once, by the first attempt that gets to write it.
-    Passed {
+    Streamed {
         /// Where it waits until then.
         upload: Rc<Upload>,
         /// What is being passed on.
-        pieces: Option<Pieces>,
+        body: Option<StreamedBody>,
         /// Of this attempt: it is written once the last piece is.
         progress: Rc<Progress>,
     },
 }
 
-impl Drop for Payload {
+impl Drop for AttemptBody {
     fn drop(&mut self) {
-        if let Payload::Passed { upload, pieces, .. } = self {
-            let left = pieces.take().filter(|pieces| !pieces.over());
-            if left.is_some() {
-                upload.spent.set(true);
-                upload.pieces.replace(left);
+        if let AttemptBody::Streamed { upload, body, .. } = self {
+            let unsent = body.take().filter(|body| !body.is_complete());
+            if unsent.is_some() {
+                upload.send_started.set(true);
+                upload.body.replace(unsent);
             }
         }
     }
 }
 
-impl Body for Payload {
+impl Body for AttemptBody {
     type Data = Bytes;
     type Error = Box<dyn Error + Send + Sync>;
 
@@ -263,39 +293,41 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Self::Error>>> {
         match self.get_mut() {
-            Payload::Held(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
-            Payload::Passed { upload, pieces, progress } => {
-                if pieces.is_none() && !upload.spent.replace(true) {
-                    *pieces = upload.pieces.borrow_mut().take();
+            AttemptBody::Buffered(body) => {
+                Pin::new(body).poll_frame(context).map_err(|never| match never {})
+            }
+            AttemptBody::Streamed { upload, body, progress } => {
+                if body.is_none() && !upload.send_started.replace(true) {
+                    *body = upload.body.borrow_mut().take();
                 }
-                let Some(passing) = pieces else { return Poll::Ready(Some(Err(PassError::Spent.into()))) };
+                let Some(stream) = body else { return Poll::Ready(Some(Err(BodyError::Consumed.into()))) };
                 if progress.is_written() {
                     return Poll::Ready(None);
                 }
-                let piece = ready!(passing.poll(context));
-                upload.moved.set(Instant::now());
-                upload.faulty.set(matches!(piece, Some(Err(_))));
-                if piece.is_none() || passing.over() {
-                    progress.set(true);
-                    upload.whole();
+                let frame = ready!(stream.poll_frame(context));
+                upload.last_progress.set(Instant::now());
+                upload.failed_at_client.set(matches!(frame, Some(Err(_))));
+                if frame.is_none() || stream.is_complete() {
+                    progress.set_written(true);
+                    upload.complete();
                 }
-                Poll::Ready(piece.map(|piece| piece.map_err(Into::into)))
+                Poll::Ready(frame.map(|frame| frame.map_err(Into::into)))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Payload::Held(body) => body.is_end_stream(),
-            Payload::Passed { progress, .. } => progress.is_written(),
+            AttemptBody::Buffered(body) => body.is_end_stream(),
+            AttemptBody::Streamed { progress, .. } => progress.is_written(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Payload::Held(body) => body.size_hint(),
-            Payload::Passed { upload, pieces, .. } => {
-                pieces.as_ref().map_or_else(|| upload.size, Pieces::size)
+            AttemptBody::Buffered(body) => body.size_hint(),
+            AttemptBody::Streamed { upload, body, .. } => {
+                body.as_ref().map_or_else(|| upload.size, StreamedBody::size_hint)
             }
         }
     }
