--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: takes requests, gives final answers, and drains at the end.
+//! Client connections: accepts requests, returns final answers, and drains on shutdown.
 
 use super::budget::{Budget, Holder, Permit};
 use super::connection_state::{ConnectionState, FIRST_HEAD_TIMEOUT};
@@ -31,46 +31,47 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 use tracing::{Level, debug, enabled, error, info};
 
-/// Kept back from a client's time, for the answer to reach it.
+/// Subtracted from the client's time-out, so that the answer reaches it in time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(10);
-/// A connection over the cap has this long to bring the head that is answered with a refusal.
+/// A connection over the limit has this long to send the head that is answered with a refusal.
 const SHED_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
-/// The head of a later request must have come within this of the answer before it: a silent client does
-/// not keep its socket for good.
+/// The head of a later request must arrive within this of the previous answer, so that a silent client does
+/// not hold its socket forever.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
-/// A body that passes through may take so long: the largest at the slowest pace.
+/// Time limit for a streamed body: the largest one at the slowest rate.
 const MAX_UPLOAD_TIME: Duration = Duration::from_secs(1100);
-/// Wait after a failed accept: out of descriptors it would fail again at once, and spin.
+/// Wait after a failed accept: without free descriptors the next call would fail at once, in a busy loop.
 const ACCEPT_ERROR_DELAY: Duration = Duration::from_millis(10);
-/// Wait after a connection that was gone before it was accepted.
+/// Wait after a connection that was aborted before it was accepted.
 const ABORTED_ACCEPT_DELAY: Duration = Duration::from_millis(1);
-/// Failed accepts after which a listener is closed all the same: what lacks that often does not come back at once.
+/// Failed accepts after which the listener is closed regardless: a shortage that lasts this long will not
+/// pass soon.
 const MAX_CLOSE_ERRORS: u32 = 64;
-/// New connections come for up to 0.4 s after SIGTERM, so we accept for a little longer.
+/// New connections arrive for up to 0.4 s after SIGTERM, so accepting goes on slightly longer than that.
 const DRAIN_ACCEPT_TIME: Duration = Duration::from_millis(500);
-/// The backlog is empty once nothing has come out of it for this long.
+/// The backlog counts as empty once no connection has come from it for this long.
 const BACKLOG_IDLE_TIME: Duration = Duration::from_millis(30);
-/// Where room is wanted, only connections that have been between requests for this long are closed.
+/// When slots are needed, only connections that have been idle between requests for this long are closed.
 const MIN_IDLE_TIME: Duration = Duration::from_secs(1);
-/// While draining, a connection on which nothing has come yet is closed after this.
+/// While draining, a connection on which nothing has arrived yet is closed after this.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(200);
-/// SIGKILL comes no sooner than the longest deadline, but at most `DEADLINE_MOST`, and 0.7 s more:
-/// what is open this long after it is failed, which leaves the answers time to go out.
+/// SIGKILL comes no sooner than the longest deadline, but at most `MAX_DRAIN_DEADLINE`, plus 0.7 s. What is
+/// pending this long after that deadline is failed, which leaves time to send the answers.
 const DRAIN_MARGIN: Duration = Duration::from_millis(450);
 const MAX_DRAIN_DEADLINE: Duration = Duration::from_secs(3);
-/// The last answers go out within this.
+/// Time for the last answers to be sent.
 const FINAL_ANSWERS_TIME: Duration = Duration::from_millis(150);
 
-/// How a connection is to be let go.
+/// How a connection is to be closed.
 #[derive(PartialEq)]
 enum CloseMode {
-    /// The client may still be writing, or have an answer to read.
+    /// The client may still be sending, or have an answer to read.
     Graceful,
-    /// It has left, or takes nothing of its answer.
+    /// The client has left, or does not read its answer.
     Immediate,
 }
 
-/// What all clients' connections share.
+/// State shared by all client connections.
 pub struct Inbound {
     parser: RequestParser,
     budget: Rc<Budget>,
@@ -78,21 +79,21 @@
     outbound: Rc<Outbound>,
     inbox: Inbox,
     next_id: Cell<u64>,
-    /// The X-Request-IDs of the requests in work, as clients choose them.
+    /// The client-chosen X-Request-IDs of the requests in progress.
     request_ids: Rc<RefCell<HashSet<String>>>,
     phase: Cell<Phase>,
-    /// Told when the operators want it to end.
+    /// Notified when an operator requests a drain.
     drain_requested: Notify,
-    /// Another process of this sidecar takes clients too.
+    /// Another process of this sidecar is serving clients too.
     other_process_serving: Cell<bool>,
-    /// Accepting fails; said once in the log until it works again.
+    /// Accept is failing; logged once until it succeeds again.
     accept_failing: Cell<bool>,
-    /// Each change says that connections are to make room, or while draining, to end.
+    /// Each change tells connections to free their slots or, while draining, to close.
     close_signal: watch::Sender<()>,
 }
 
 impl Inbound {
-    /// No clients yet.
+    /// Starts without connections.
     pub fn new(
         parser: RequestParser,
         budget: Rc<Budget>,
@@ -116,23 +117,23 @@
         })
     }
 
-    /// Whether this process takes clients.
+    /// Whether this process serves clients.
     pub fn is_serving(&self) -> bool {
         self.phase.get() == Phase::Serving
     }
 
-    /// Ends it as SIGTERM does.
+    /// Starts a drain, as SIGTERM does.
     pub fn drain(&self) {
         self.drain_requested.notify_one();
     }
 
-    /// Whether another process of this sidecar takes clients too.
+    /// Sets whether another process of this sidecar is serving clients too.
     pub fn set_other_process_serving(&self, serving: bool) {
         self.other_process_serving.set(serving);
     }
 
-    /// Serves until told to end, then drains: all that the kernel has accepted is answered.
-    /// `ending` is called as the drain begins.
+    /// Serves until SIGTERM or a drain request, then drains: every connection that the kernel has accepted
+    /// is answered. `on_drain` is called when the drain begins.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, mut term: Signal, on_drain: impl FnOnce()) {
         self.phase.set(Phase::Serving);
         loop {
@@ -148,15 +149,16 @@
         on_drain();
         let longest = self.parser.settings.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
         let until = drain_started + longest.min(MAX_DRAIN_DEADLINE) + DRAIN_MARGIN;
-        // What still waits in the backlog then counts as taken: closing the listener would reset it.
+        // Connections still in the backlog count as accepted by then: closing the listener would reset
+        // them.
         while Instant::now() < until && !self.other_process_serving.get() {
             let wait = (drain_started + DRAIN_ACCEPT_TIME).max(Instant::now() + BACKLOG_IDLE_TIME);
             if timeout_at(wait, self.accept(&listener)).await.is_err() {
                 break;
             }
         }
-        // A successor may be seen only now. To accept beside it for as long as clients come would end with what is in
-        // work when the time is up.
+        // A successor process may be noticed only now. Accepting beside it for as long as clients come
+        // would leave requests unfinished when the drain time is up.
         self.accept_backlog_and_close(listener);
         self.close_signal.send_replace(());
         if timeout_at(until, self.clients_gone()).await.is_err() {
@@ -167,8 +169,9 @@
         info!(ms = drain_started.elapsed().as_millis() as u64, "drained");
     }
 
-    /// Takes what waits in the backlog and closes the listener in one go: all that comes later is refused, or goes
-    /// to the process that listens beside this one. A wait in between would let more in, only to be reset.
+    /// Accepts everything in the backlog and closes the listener without yielding: later connections are
+    /// refused, or go to the process that listens beside this one. A wait in between would let more
+    /// connections in, only to be reset.
     fn accept_backlog_and_close(self: &Rc<Self>, listener: TcpListener) {
         let Ok(listener) = listener.into_std() else { return };
         let mut errors = 0;
@@ -181,7 +184,8 @@
                     }
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                // Of one connection, or of the call: behind it others may wait, which a close would reset.
+                // The fault of one connection, or of the call: others may be queued behind it, which
+                // closing would reset.
                 Err(e) if !is_local(&e) => errors += 1,
                 Err(_) => {
                     errors += 1;
@@ -200,7 +204,7 @@
         }
     }
 
-    /// Accepts one connection, once there is room for it.
+    /// Accepts one connection, once there is a slot for it.
     async fn accept(self: &Rc<Self>, listener: &TcpListener) {
         let permit = self.client_permit().await;
         match listener.accept().await {
@@ -208,14 +212,15 @@
                 self.accept_failing.set(false);
                 self.admit(stream, permit.or_else(|| self.budget.take(Holder::Client)));
             }
-            // Of one connection that is gone, or a signal: nothing is lacking, and the next one waits.
+            // One aborted connection or a signal: no resource is lacking, and the next connection may be
+            // waiting.
             Err(e) if !is_local(&e) => {
                 debug!("accept: {e}");
-                sleep(ABORTED_ACCEPT_DELAY).await; // one that lasts must not keep the thread
+                sleep(ABORTED_ACCEPT_DELAY).await; // an error that persists must not block the thread
             }
             Err(e) => {
                 if !self.accept_failing.replace(true) {
-                    error!("accept: {e}; said once until it works again");
+                    error!("accept: {e}; further failures are not logged until accept succeeds");
                 }
                 self.outbound.close_oldest_idle();
                 sleep(ACCEPT_ERROR_DELAY).await;
@@ -223,24 +228,25 @@
         }
     }
 
-    /// Serves a connection; without a permit only to say that there is no room.
+    /// Serves a connection; one without a permit is only told that the limit is reached.
     fn admit(self: &Rc<Self>, stream: TcpStream, permit: Option<Permit>) {
         let shed = permit.is_none();
-        // What has been accepted takes its descriptor, and is waited for at the end, whether there was room or not.
+        // An accepted connection has a descriptor and is waited for on shutdown, whether it is within the
+        // limit or not.
         let permit = permit.unwrap_or_else(|| self.budget.take_unconditionally(Holder::Shed));
-        // Heard from now on, not from when the task first runs: the call to close may come in between.
+        // Subscribed here rather than when the task first runs: a close signal may come in between.
         let (this, close_signal) = (self.clone(), self.close_signal.subscribe());
         spawn_local(async move { this.handle_connection(stream, shed, close_signal, permit).await });
     }
 
-    /// A permit for one more client; none where it can only be told that there is no room.
+    /// A permit for one more client; none if the client can only be told that the limit is reached.
     async fn client_permit(&self) -> Option<Permit> {
         loop {
             while self.budget.blocked_by_endpoints() && self.outbound.close_oldest_idle() {}
             if let Some(permit) = self.budget.take(Holder::Client) {
                 return Some(permit);
             }
-            // Idle clients make room for new ones.
+            // Idle clients free their slots for new ones.
             self.close_signal.send_replace(());
             if let Some(permit) = self.budget.take(Holder::Shed) {
                 drop(permit);
@@ -259,7 +265,8 @@
     ) {
         let stream = ClientStream::new(stream);
         let close_mode = self.serve_connection(&stream, shed, &mut close_signal).await;
-        // Who has been answered must not keep a place that others want: there it is let go at once.
+        // If slots are scarce, an answered client must not keep one while the connection lingers: it is
+        // closed at once.
         if close_mode == CloseMode::Graceful && !self.budget.clients_near_limit() {
             tokio::select! {
                 () = stream.close() => {}
@@ -268,9 +275,9 @@
         }
     }
 
-    /// Waits until connections are to make room, and not only to end.
+    /// Waits until connections are to free their slots, and not only to close for the drain.
     async fn room_needed(&self, close_signal: &mut watch::Receiver<()>) {
-        // The sender lives as long as this does.
+        // The sender lives as long as self.
         while close_signal.changed().await.is_ok() && self.phase.get().is_ending() {}
     }
 
@@ -290,23 +297,24 @@
             .serve_connection(TokioIo::new(stream.clone()), service);
         let client_left = stream.client_left(|| state.answering.get());
         tokio::pin!(connection, client_left);
-        // Over the cap there are few places even to say so: silence must not take them.
+        // Over the limit there are few slots even for refusals: silent connections must not take them.
         let first_head_deadline =
             if shed { state.accepted_at + SHED_HEAD_TIMEOUT } else { state.first_head_deadline() };
         let (mut first_head_until, mut new_connection_until) = (Some(first_head_deadline), None);
         loop {
             tokio::select! {
                 biased;
-                _ = connection.as_mut() => return CloseMode::Graceful, // an error here is the client's leaving
-                // Whoever has left waits for no answer, whatever else it had written.
+                _ = connection.as_mut() => return CloseMode::Graceful, // an error here means that the client left
+                // A client that has left gets no answer, whatever else it had sent.
                 () = client_left.as_mut() => return CloseMode::Immediate,
                 _ = close_signal.changed() => match state.idle_time() {
                     _ if state.answering.get() => state.close_after_answer.set(true),
-                    // On a new connection the first request is as good as taken: to close it now
-                    // would lose what the client is just writing.
+                    // On a new connection the first request is probably already on its way: closing now
+                    // would lose what the client is just sending.
                     None if self.phase.get().is_ending() => new_connection_until = Some(Instant::now() + NEW_CONNECTION_GRACE),
-                    // One just used is likely to be used again at once, and a request that crosses
-                    // our closing is lost, or sent twice: the next answer says that it is the last.
+                    // A connection used recently is likely to be used again at once, and a request that
+                    // crosses the close is lost, or sent twice: the next answer announces the close
+                    // instead.
                     Some(idle) if self.phase.get().is_ending() || idle >= MIN_IDLE_TIME => {
                         connection.as_mut().graceful_shutdown();
                     }
@@ -314,12 +322,12 @@
                 },
                 () = sleep_until_some(first_head_until) => {
                     first_head_until = None;
-                    // What has come of a head by now is no request.
+                    // The part of a head that has arrived by now is not a request.
                     if state.awaits_first_request() {
                         return CloseMode::Graceful;
                     }
                 }
-                // Its answer did not yet say that it would be the last.
+                // The previous answer did not announce that it was the last one.
                 () = state.streaming_changed.notified() => if state.close_after_answer.get() && !state.answering.get() {
                     connection.as_mut().graceful_shutdown();
                 },
@@ -365,14 +373,15 @@
                     class.into_iter().for_each(|class| self.counters.record_end(class, End::Rejected));
                     self.overload_reply(problem)
                 }
-                // What is no proper request ends nothing that would count.
+                // An invalid request is not counted under any class.
                 Err((status, problem)) => text_reply(status, problem),
             }
         };
         if matches!(reply.body(), ReplyBody::Buffered(_)) {
             state.answer_finished();
         }
-        // Who only asks whether we are ready and stays takes a place that requests want, where few are left.
+        // A client that only checks readiness and keeps its connection occupies a slot that requests need
+        // when few are left.
         let occupies_scarce_slot = is_readiness_check && self.budget.clients_near_limit();
         if self.phase.get().is_ending() || shed || state.close_after_answer.get() || occupies_scarce_slot {
             reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -380,7 +389,8 @@
         Ok(reply)
     }
 
-    /// A refusal of our own: there is room once the first silent connections have been closed.
+    /// A refusal by the sidecar itself: slots become free once the first silent connections have been
+    /// closed.
     fn overload_reply(&self, text: &'static str) -> Reply {
         let mut reply = text_reply(StatusCode::SERVICE_UNAVAILABLE, text);
         if self.parser.settings.limits.retry_after {
@@ -400,13 +410,13 @@
         let busy = (StatusCode::SERVICE_UNAVAILABLE, "too many requests");
         let memory = self.budget.take(Holder::Request).ok_or(busy)?;
         let (mut head, body) = request.into_parts();
-        // What is no proper request is told so before its body, of which there may be much.
+        // An invalid request is rejected before its body, which may be large, is read.
         let (mut request, time) = self.parser.parse(&head.method, &head.uri, &head.headers)?;
         if body.size_hint().lower() > MAX_BODY {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "body too long"));
         }
         let (buffered, rest) = buffer_body(body, state.body_deadline()).await?;
-        // What passes through has buffers of its own on both sides.
+        // A streamed body has its own buffers in both directions.
         let _buffers = match &rest {
             Some(_) => Some(self.budget.take(Holder::Request).ok_or(busy)?),
             None => None,
@@ -414,11 +424,11 @@
         if self.phase.get() == Phase::DrainTimedOut {
             return Err((StatusCode::SERVICE_UNAVAILABLE, "ending"));
         }
-        // The client counts from its last byte.
+        // The client's time-out counts from the last byte of its request.
         let received_at = Instant::now();
         let x_request_id =
             head.headers.get("x-request-id").and_then(|id| id.to_str().ok()).unwrap_or_default();
-        // Whoever sends another client's id sends no request of its own: endpoints would answer 400.
+        // A request with the id of one in progress is not a new request: endpoints would answer 400.
         if !self.request_ids.borrow_mut().insert(x_request_id.to_owned()) {
             return Err((StatusCode::CONFLICT, "X-Request-ID is not fresh"));
         }
@@ -458,7 +468,7 @@
         let forward = ForwardedRequest { method: head.method, uri: head.uri, headers: head.headers, body };
         let incoming = IncomingRequest { request, deadline, forward, answer };
         let _ = self.inbox.send(Input::Request(Box::new(incoming)));
-        // Where the module were to forget a request, its client would still be told in time.
+        // Answers the client in time even if the policy were to lose track of the request.
         let answer = timeout_at(answer_by, answered).await;
         in_flight.answered = answer.is_ok();
         if let Some(upload) = upload_in_progress.filter(|upload| !upload.is_complete()) {
@@ -499,7 +509,7 @@
     }
 }
 
-/// Waits for a time; for ever if there is none.
+/// Waits until the given time, or forever if there is none.
 async fn sleep_until_some(time: Option<Instant>) {
     match time {
         Some(time) => sleep_until(time).await,
