--- a/src/net/outbound.rs
+++ b/src/net/outbound.rs
@@ -20,49 +20,52 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// A body or an answer up to this is held whole; a longer one passes through.
+/// A request or answer body up to this many bytes is buffered; a longer one is streamed.
 pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
-/// Buffer of a connection, either way; also bounds a message's head.
+/// Bytes buffered per connection and direction; also the limit on the size of a message's head.
 pub const MAX_CONNECTION_BUFFER: usize = 64 * 1024;
-/// Part of the endpoints' idle time after which we close a connection ourselves: what is written to
-/// one that the endpoint is just closing ends as a reset, and an unsafe request is then lost for good.
+/// Share of the endpoints' idle time-out after which idle connections are closed from this side: a request
+/// written to a connection that the endpoint is just closing ends as a reset, and an unsafe one is then
+/// lost for good.
 const IDLE_SHARE: f64 = 0.7;
-/// Idle connections kept where the settings say nothing of idle time.
+/// Idle time-out of connections where the settings have none.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often idle connections are looked over.
+/// Interval at which idle connections are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// No attempt takes longer to be written than this: a bar need not be remembered beyond it.
+/// No attempt takes longer than this to be written, so a block need not be remembered beyond it.
 const BLOCK_RETENTION: Duration = Duration::from_secs(60);
-/// A probe that takes longer has failed.
+/// Time limit of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-/// An answer once begun comes on within this, also from an endpoint that stands still for a moment: one that
-/// stalls is broken, and to wait on would spend the time for another attempt.
+/// Longest gap within an answer, which even an endpoint that pauses briefly keeps to: one that stalls for
+/// longer is broken, and waiting on would use up the time for another attempt.
 const ANSWER_GAP_TIMEOUT: Duration = Duration::from_millis(500);
-/// An answer that does not say how long it is passes through once it has not ended for so long: it may be a large
-/// one, whose first bytes are waited for.
+/// An answer of unknown length is streamed if it has not ended after this: it may be a large one, and the
+/// client waits for its first bytes.
 const STREAM_AFTER: Duration = Duration::from_millis(250);
-/// Limit of an attempt's connection where the settings say nothing.
+/// Time limit for connecting where the settings have none.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Where an attempt or a probe goes, and what it must keep to.
+/// Where an attempt or a probe goes, and its limits.
 #[derive(Clone, Copy)]
 pub struct Dispatch {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Where it listens.
     pub address: SocketAddr,
-    /// When it was decided: what is told of the endpoint later binds, also before this is first worked on.
+    /// When the send was decided: a list update or ejection that arrives later applies to it, even before
+    /// the connection work starts.
     pub decided_at: Instant,
-    /// Not to be written later than this, if that is stated.
+    /// Not written later than this, if set.
     pub write_by: Option<Instant>,
-    /// How long its answer is waited for, which the endpoint is told; none where the request says so itself.
+    /// How long the answer is waited for, as announced to the endpoint; none if the request already
+    /// announces it.
     pub announced_deadline: Option<Instant>,
 }
 
-/// Tells an endpoint for how long it is waited for.
+/// Sets the header that tells an endpoint how long its answer is waited for.
 pub fn set_time_left(headers: &mut HeaderMap, left: Duration) {
     let text = format!("{}u", left.as_micros());
-    let value = HeaderValue::from_str(&text).unwrap_or(HeaderValue::from_static("")); // digits are allowed
+    let value = HeaderValue::from_str(&text).unwrap_or(HeaderValue::from_static("")); // the digits and unit are always valid
     headers.insert(HeaderName::from_static("x-timeout"), value);
 }
 
@@ -70,20 +73,20 @@
 pub struct AttemptEnd {
     /// The outcome.
     pub outcome: Outcome,
-    /// The body of a 200, as far as it is held.
+    /// The body of a 200, if it is buffered.
     pub body: Bytes,
-    /// The rest of a large answer, to be passed on.
+    /// The rest of a large answer, to be streamed to the client.
     pub streamed: Option<Box<StreamedAnswer>>,
-    /// The endpoint says that the request itself is at fault: no other would take it either.
+    /// The endpoint says that the request itself is invalid: no other endpoint would accept it either.
     pub bad_request: bool,
     /// The load report, if one came.
     pub report: Option<Vec<f64>>,
-    /// For how long the connection had been open on which an answer came, if one came.
+    /// How long the connection that brought the answer had been open; none without an answer.
     pub connected_for: Option<Duration>,
 }
 
 impl AttemptEnd {
-    /// An end that brought nothing but itself.
+    /// An end without an answer.
     pub fn without_answer(outcome: Outcome) -> Self {
         let (body, streamed, bad_request, report, connected_for) = Default::default();
         AttemptEnd { outcome, body, streamed, bad_request, report, connected_for }
@@ -92,7 +95,7 @@
 
 /// A large answer that has begun, and its connection.
 pub struct StreamedAnswer {
-    /// What there is of it.
+    /// What remains to be read.
     pub body: StreamedBody,
     endpoint: EndpointId,
     connection: EndpointConnection,
@@ -100,7 +103,7 @@
 }
 
 impl StreamedAnswer {
-    /// It came whole: its connection can be used again.
+    /// The answer is complete: makes its connection available again.
     pub fn complete(self) {
         self.outbound.return_idle(self.endpoint, self.connection);
     }
@@ -111,7 +114,7 @@
     address: SocketAddr,
     opened: Instant,
     idle_since: Instant,
-    /// Dropping a link closes its connection, also with an answer still to come.
+    /// Dropping this closes the connection, even if an answer is still to come.
     _connection: AbortOnDrop,
     _permit: Permit,
 }
@@ -119,9 +122,10 @@
 /// The connections to all endpoints.
 pub struct Outbound {
     budget: Rc<Budget>,
-    /// Idle ones, the most recently used last.
+    /// Idle connections, the most recently used last.
     idle: RefCell<HashMap<EndpointId, Vec<EndpointConnection>>>,
-    /// When an endpoint was last barred: what was to go there by then and is not yet written stays here.
+    /// When an endpoint was last blocked: attempts decided until then that are not yet written are not
+    /// sent.
     blocked_at: RefCell<HashMap<EndpointId, Instant>>,
     counters: Rc<Counters>,
     connect_timeout: Duration,
@@ -130,7 +134,7 @@
 }
 
 impl Outbound {
-    /// No connections yet.
+    /// Starts without connections.
     pub fn new(settings: &Settings, budget: Rc<Budget>, counters: Rc<Counters>) -> Rc<Self> {
         let (connect, idle) = (settings.limits.connect_timeout, settings.limits.idle_close);
         let or_default = |time: Duration, default| if time.is_zero() { default } else { time };
@@ -145,13 +149,13 @@
         })
     }
 
-    /// The progress of an attempt that is to be made.
+    /// The progress of a new attempt.
     pub fn new_progress(&self) -> Progress {
         Progress::counted(self.counters.clone())
     }
 
-    /// Sends one attempt and waits for its end. It is written at most once: only what provably was
-    /// never written goes to another connection.
+    /// Sends one attempt and waits for its end. It is written at most once: only a request that provably
+    /// was never written is tried on another connection.
     pub async fn attempt(
         self: &Rc<Self>,
         dispatch: Dispatch,
@@ -169,14 +173,14 @@
                     None => return AttemptEnd::without_answer(Outcome::ConnectFailed),
                 },
             };
-            // An idle connection may be found closed only now.
+            // An idle connection may turn out to be closed only now.
             if !matches!(timeout(self.connect_timeout, connection.sender.ready()).await, Ok(Ok(()))) {
                 if fresh {
                     return AttemptEnd::without_answer(Outcome::ConnectFailed);
                 }
                 continue;
             }
-            // Connecting takes time, and what was told meanwhile binds before anything is written.
+            // Connecting takes time; an update that arrived meanwhile applies before anything is written.
             if self.blocked_at.borrow().get(&endpoint).is_some_and(|at| *at >= decided_at) {
                 return AttemptEnd::without_answer(Outcome::ConnectFailed);
             }
@@ -184,20 +188,20 @@
                 self.return_idle(endpoint, connection);
                 return AttemptEnd::without_answer(Outcome::NotSent);
             }
-            // Connecting took a part of what the client has left: the endpoint is told what there is now.
+            // Connecting took part of the client's remaining time: the endpoint is told what is left now.
             if let Some(announced_deadline) = announced_deadline {
                 set_time_left(
                     request.headers_mut(),
                     announced_deadline.saturating_duration_since(Instant::now()),
                 );
             }
-            // What passes through is written only with its last piece, which sets this itself.
+            // A streamed body counts as written only with its last frame, and sets this itself.
             let buffered = matches!(request.body(), AttemptBody::Buffered(_));
             progress.set_written(buffered);
             match connection.sender.try_send_request(request).await {
                 Ok(response) => break (connection, response),
                 Err(mut error) => match error.take_message() {
-                    // Handed back unsent.
+                    // Returned unsent.
                     Some(unsent) => {
                         progress.set_written(false);
                         request = unsent;
@@ -205,7 +209,7 @@
                             return AttemptEnd::without_answer(Outcome::ConnectFailed);
                         }
                     }
-                    // Some of it may have been written, so all of it may have come.
+                    // Part of it may have been written, so the endpoint may have received all of it.
                     None => return AttemptEnd::without_answer(progress.outcome_on_reset()),
                 },
             }
@@ -217,9 +221,10 @@
                 let outbound = self.clone();
                 ended.streamed = Some(Box::new(StreamedAnswer { body, endpoint, connection, outbound }));
             }
-            // What else an error has to say is not wanted.
+            // The rest of an error's body is not needed.
             Some(_) => {}
-            // An answer to half a body leaves the other half to be written.
+            // After an answer to half a request body the other half is still unwritten, and the connection
+            // unusable.
             None if ended.outcome != Outcome::Reset && progress.is_written() => {
                 self.return_idle(endpoint, connection)
             }
@@ -228,7 +233,7 @@
         ended
     }
 
-    /// Keeps a connection for later.
+    /// Keeps a connection for reuse.
     fn return_idle(&self, endpoint: EndpointId, mut connection: EndpointConnection) {
         if !connection.sender.is_closed() {
             connection.idle_since = Instant::now();
@@ -236,8 +241,9 @@
         }
     }
 
-    /// The outcome that an answer stands for. It is read whole first, so that a break half-way is an
-    /// outcome and never a torn answer. Of a large one there is a rest, and the outcome is its beginning's.
+    /// The outcome of an answer. A small answer is read to its end first, so that a break half-way becomes
+    /// an outcome and the client never gets a truncated answer. A large one returns the rest of its body,
+    /// and its outcome is that of its head.
     async fn read_answer(&self, response: Response<Incoming>) -> (AttemptEnd, Option<StreamedBody>) {
         let (head, body) = response.into_parts();
         let not_processed = head.headers.get("x-not-processed").is_some_and(|v| v.as_bytes() == b"1");
@@ -254,7 +260,7 @@
         match buffer_answer(body).await {
             Some(AnswerBody::Buffered(body)) => (ended(body), None),
             Some(AnswerBody::Streamed(body)) => (ended(Bytes::new()), Some(body)),
-            // The head of a refusal says it all, whatever became of its body.
+            // The head of a refusal is enough, even if its body did not arrive.
             None if outcome == Outcome::NotProcessed => {
                 (AttemptEnd::without_answer(Outcome::NotProcessed), None)
             }
@@ -262,7 +268,7 @@
         }
     }
 
-    /// Asks an endpoint for its health, and its load where the deployment has reports.
+    /// Asks an endpoint for its health, and for its load if load reports are configured.
     pub async fn probe(self: &Rc<Self>, endpoint: EndpointId, address: SocketAddr) -> AttemptEnd {
         let path = if self.load_fields.is_empty() { "/-/healthy" } else { "/-/load" };
         let request = Request::get(path).header(header::HOST, address.to_string());
@@ -282,7 +288,7 @@
         }
     }
 
-    /// Lets nothing go to an endpoint any more that is not written yet.
+    /// Prevents attempts at an endpoint that are not yet written from being sent.
     pub fn block_unwritten(&self, endpoint: EndpointId) {
         self.close_idle(endpoint);
         self.blocked_at.borrow_mut().insert(endpoint, Instant::now());
@@ -293,16 +299,16 @@
         self.idle.borrow_mut().remove(&endpoint);
     }
 
-    /// Closes idle connections to an endpoint on which nothing was heard since then: a machine that is
-    /// cut off leaves them open and silent, and each would cost one more request all its time, where a
-    /// new connection fails at once and proves that nothing ran.
+    /// Closes connections to an endpoint that have been idle since before the given time. A machine that is
+    /// cut off from the network leaves them open and silent, and each would cost one more request all its
+    /// time, whereas a new connection fails at once and proves that nothing ran.
     pub fn close_idle_before(&self, endpoint: EndpointId, since: Instant) {
         if let Some(connections) = self.idle.borrow_mut().get_mut(&endpoint) {
             connections.retain(|connection| connection.idle_since > since);
         }
     }
 
-    /// Closes idle connections until no more sockets are held than there is a part for.
+    /// Closes idle connections until the sockets in use are within this process's share.
     pub fn close_idle_over_budget(&self) {
         while self.budget.over_limit() && self.close_oldest_idle() {}
     }
@@ -316,7 +322,8 @@
         idle.get_mut(&id).map(|connections| connections.remove(0)).is_some()
     }
 
-    /// Closes, from time to time, what has idled for too long or was closed by the endpoint, and forgets old bars.
+    /// Periodically closes connections that were idle for too long or closed by the endpoint, and forgets
+    /// old blocks.
     pub async fn sweep(self: Rc<Self>) {
         loop {
             tokio::time::sleep(SWEEP_INTERVAL).await;
@@ -324,7 +331,8 @@
                 connections.retain(|connection| self.usable(connection));
                 !connections.is_empty()
             });
-            // Not at each bar: a list may bar all endpoints at once, and to look at all for each costs the square.
+            // Not done at each block: a list may block all endpoints at once, and scanning all for each
+            // would take quadratic time.
             self.blocked_at.borrow_mut().retain(|_, at| at.elapsed() < BLOCK_RETENTION);
         }
     }
@@ -333,11 +341,11 @@
         !connection.sender.is_closed() && connection.idle_since.elapsed() < self.idle_timeout
     }
 
-    /// The most recently used idle connection: the others may then age and be closed.
+    /// The most recently used idle connection, so that the others age and can be closed.
     fn take_idle(&self, endpoint: EndpointId, address: SocketAddr) -> Option<EndpointConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&endpoint)?;
-        // At another address another machine may listen by now.
+        // At another address a different machine may be listening by now.
         std::iter::from_fn(|| connections.pop())
             .find(|connection| connection.address == address && self.usable(connection))
     }
@@ -350,7 +358,7 @@
                 None => return None,
             }
         };
-        // A machine that is cut off never answers: without a limit of ours the attempt would hang.
+        // A machine that is cut off never answers: without a time limit the attempt would hang.
         let until = Instant::now() + self.connect_timeout;
         let until = write_by.map_or(until, |by| by.min(until));
         let connection = timeout_at(until, TcpConnection::connect(address)).await.ok()?.ok()?;
@@ -372,7 +380,7 @@
         self.parse_report(headers.get("x-server-load")?.to_str().ok()?)
     }
 
-    /// The values of the settings' fields, in their order; none unless all are there.
+    /// The values of the configured fields, in their order; none unless all are present.
     fn parse_report(&self, text: &str) -> Option<Vec<f64>> {
         let value = |field: &LoadField| {
             let pairs = text.trim().split(',').filter_map(|pair| pair.split_once('='));
@@ -386,17 +394,18 @@
     }
 }
 
-/// What of an answer is held.
+/// An answer's body, as read by `buffer_answer`.
 enum AnswerBody {
     Buffered(Bytes),
     Streamed(StreamedBody),
 }
 
-/// Reads an answer as far as it is held; none if it breaks or stalls before.
+/// Reads an answer into a buffer; one that is large or of unknown length is streamed from there on. None if
+/// it breaks or stalls.
 async fn buffer_answer(mut body: Incoming) -> Option<AnswerBody> {
     let size = body.size_hint();
     if size.lower() > MAX_BODY {
-        return None; // no endpoint gives so much: what announces it is spoilt
+        return None; // no endpoint sends this much: the stated length is invalid
     }
     if size.lower() > MAX_BUFFERED_BODY as u64 {
         return Some(AnswerBody::Streamed(StreamedBody::from_endpoint(Bytes::new(), body)));
@@ -422,7 +431,7 @@
     Some(AnswerBody::Streamed(StreamedBody::from_endpoint(buffer.into(), body)))
 }
 
-/// A load report's field as endpoints name it.
+/// The key of a load report's field on the wire.
 fn report_key(field: LoadField) -> &'static str {
     match field {
         LoadField::Outstanding => "inflight",
