--- a/src/net/streamed_body.rs
+++ b/src/net/streamed_body.rs
@@ -1,5 +1,5 @@
-//! Bodies too large to be held: they pass through piece by piece, each way. What is not read waits in the
-//! sockets, so that memory stays bounded however slow the reader is.
+//! Bodies too large to be buffered: they are streamed frame by frame in both directions. Unread data stays
+//! in the sockets, so that memory use is bounded however slow the reader is.
 
 use super::progress::Progress;
 use http_body_util::Full;
@@ -15,56 +15,57 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, Sleep, sleep, sleep_until, timeout_at};
 
-/// No body on the wire is longer.
+/// Longest body on the wire, in bytes.
 pub const MAX_BODY: u64 = 32 << 20;
-/// A client whose body stands still for this long is not sending it any more.
+/// A client whose body makes no progress for this long has stopped sending it.
 const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// An endpoint that takes nothing more of a body for this long does not stand there any more.
+/// An endpoint that accepts no more of a body for this long is taken to be unreachable.
 const UPLOAD_STALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// An endpoint whose answer stands still for this long is not giving it any more.
+/// An endpoint whose answer makes no progress for this long has stopped sending it.
 const ANSWER_STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes a second that an answer of no stated length has to come at once its client's time is up, and what it may lag
-/// behind that: half of the slowest body. One that trickles on would never end.
+/// Bytes per second that an answer of unknown length must reach once its client's time is up, and how far
+/// it may fall behind: half the rate of the slowest body. One that trickles on would never end.
 const MIN_ANSWER_RATE: f64 = 32_000.0;
 const MAX_ANSWER_LAG: Duration = Duration::from_secs(3);
 
-/// How often and how long what is left of a body is looked for.
+/// How often, and at what interval, the unread rest of a body is looked for.
 const DISCARD_TRIES: u32 = 50;
 const DISCARD_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why a body ends before its time.
+/// Why a body ends early.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// Its sender broke off, or broke the framing.
-    #[error("the body broke: {0}")]
+    /// The sender closed the connection or broke the framing.
+    #[error("body ended early: {0}")]
     Broken(#[from] hyper::Error),
-    /// Its sender stands still.
-    #[error("the body stalled")]
+    /// The sender made no progress.
+    #[error("body made no progress within the time limit")]
     Stalled,
-    /// It is longer than any may be.
-    #[error("the body is too long")]
+    /// It exceeds the maximum length.
+    #[error("body exceeds the maximum length")]
     TooLong,
-    /// Its time is up, and it does not come to an end.
-    #[error("the body does not end")]
+    /// The reader's time is up, and the body does not end.
+    #[error("body did not end within the client's time")]
     Endless,
-    /// It has been passed on before.
-    #[error("the body is spent")]
+    /// It has already been forwarded.
+    #[error("body was already forwarded and cannot be sent again")]
     Consumed,
 }
 
-/// Pieces as they come: those read already, then the rest.
+/// A body as a stream of frames: the bytes read already, then the rest.
 pub struct StreamedBody {
     buffered: Option<Bytes>,
     rest: Incoming,
     received_bytes: u64,
     stall_timeout: Duration,
-    /// Set while a piece is waited for, and only then: it is the reader's matter when it asks for one.
+    /// Set only while a frame is being waited for: when the reader asks for the next one is up to the
+    /// reader.
     stall_timer: Option<Pin<Box<Sleep>>>,
-    /// When the reader's time is up; known for an answer.
+    /// When the reader's time is up; set for an answer.
     deadline: Option<Instant>,
-    /// For how long its sender was waited for.
+    /// Total time spent waiting for the sender.
     total_wait: Duration,
-    /// Since when it is.
+    /// Start of the current wait.
     waiting_since: Option<Instant>,
 }
 
@@ -94,12 +95,12 @@
         }
     }
 
-    /// Says when the reader's time is up.
+    /// Sets when the reader's time is up.
     pub fn set_deadline(&mut self, at: Instant) {
         self.deadline = Some(at);
     }
 
-    /// When it is plain that it never ends, if it goes on as it does.
+    /// When the body counts as endless if no more arrives.
     fn endless_at(&self) -> Option<Instant> {
         let deadline = self.deadline.filter(|_| self.rest.size_hint().exact().is_none())?;
         let allowed =
@@ -108,7 +109,7 @@
         Some(deadline.max(since + allowed.saturating_sub(self.total_wait)))
     }
 
-    /// All of it has been handed on.
+    /// Whether all of it has been read.
     pub fn is_complete(&self) -> bool {
         self.buffered.is_none() && self.rest.is_end_stream()
     }
@@ -125,7 +126,7 @@
         size
     }
 
-    /// The next piece.
+    /// The next frame.
     pub fn poll_frame(
         &mut self,
         context: &mut Context<'_>,
@@ -163,26 +164,27 @@
     }
 }
 
-/// A client's large body, until an attempt begins to pass it on.
+/// A client's large body, and how much of it an attempt has forwarded.
 pub struct Upload {
-    /// All of it before an attempt has it, and what the attempt has left after that.
+    /// The whole body before an attempt takes it, and what that attempt left unread afterwards.
     body: RefCell<Option<StreamedBody>>,
     send_started: Cell<bool>,
-    /// It broke off, stalled or grew too long: the client's fault, and no endpoint's.
+    /// It broke, stalled or grew too long, which is the client's fault and no endpoint's.
     failed_at_client: Cell<bool>,
     size: SizeHint,
-    /// What the client gives from its last byte on, less what is kept back for the answer.
+    /// The time the client waits after its last byte, less the margin for returning the answer.
     pub answer_time: Duration,
-    /// When the answer must be on its way; known once the body has come whole.
+    /// When the answer must be on its way; known once the body is complete.
     deadline: watch::Sender<Option<Instant>>,
-    /// When a piece last went on.
+    /// When a frame was last forwarded.
     last_progress: Cell<Instant>,
-    /// Told the deadline once the body has come whole.
+    /// Called with the deadline once the body is complete.
     on_complete: Box<dyn Fn(Instant)>,
 }
 
 impl Upload {
-    /// One that nobody has begun to pass on; `when_whole` is told the deadline once its last byte has come.
+    /// A body that no attempt has begun to forward; `on_complete` is called with the deadline once its last
+    /// byte has arrived.
     pub fn new(
         body: StreamedBody,
         answer_time: Duration,
@@ -204,22 +206,22 @@
         })
     }
 
-    /// It has begun to go out, and can't be sent again.
+    /// Sending has begun, so the body can't be sent again.
     pub fn is_send_started(&self) -> bool {
         self.send_started.get()
     }
 
-    /// It came to no proper end.
+    /// The body did not end properly.
     pub fn failed_at_client(&self) -> bool {
         self.failed_at_client.get()
     }
 
-    /// All of it has come and been handed on.
+    /// All of it has arrived and been forwarded.
     pub fn is_complete(&self) -> bool {
         self.deadline.borrow().is_some()
     }
 
-    /// Waits until the time of a body that came whole is up, or until one stands still on its way.
+    /// Waits until the deadline of a complete body, or until an incomplete one has stalled.
     pub async fn timed_out(&self) {
         let mut deadline = self.deadline.subscribe();
         self.last_progress.set(Instant::now());
@@ -236,8 +238,8 @@
         }
     }
 
-    /// Reads what is left of a body that was answered before it had come whole, and drops it: its client is
-    /// still writing, and to close on it would cost it the answer.
+    /// Reads and drops the rest of a body that was answered before it was complete: its client is still
+    /// sending, and closing the connection would lose the answer.
     pub async fn discard(&self) {
         for _ in 0..DISCARD_TRIES {
             let body = self.body.borrow_mut().take();
@@ -245,11 +247,11 @@
                 while let Some(Ok(_)) = poll_fn(|context| body.poll_frame(context)).await {}
                 return;
             }
-            sleep(DISCARD_INTERVAL).await; // until the attempt that had it has ended
+            sleep(DISCARD_INTERVAL).await; // until the attempt that took it has ended
         }
     }
 
-    /// The last byte has come, and been handed on.
+    /// The last byte has arrived and been forwarded.
     fn complete(&self) {
         let deadline = Instant::now() + self.answer_time;
         self.deadline.send_replace(Some(deadline));
@@ -257,17 +259,17 @@
     }
 }
 
-/// The body of an attempt.
+/// The request body of an attempt.
 pub enum AttemptBody {
-    /// Held whole, and can be sent again.
+    /// Buffered, and can be sent again.
     Buffered(Full<Bytes>),
-    /// Passed on once, by the first attempt that gets to write it.
+    /// Streamed once, by the first attempt that gets to write it.
     Streamed {
         /// Where it waits until then.
         upload: Rc<Upload>,
-        /// What is being passed on.
+        /// The body while it is being streamed.
         body: Option<StreamedBody>,
-        /// Of this attempt: it is written once the last piece is.
+        /// Of this attempt: set to written with the last frame.
         progress: Rc<Progress>,
     },
 }
