--- a/src/net/reply.rs
+++ b/src/net/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to clients, held or passing, and the requests that wait for them.
+//! Replies to clients, buffered or streamed, and the requests that wait for them.
 
 use super::budget::Permit;
 use super::connection_state::ConnectionState;
@@ -19,17 +19,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request in work: tells the driver when its client leaves before its answer.
+/// A request in progress: when dropped, tells the driver if the client left before its answer.
 pub struct InFlightRequest {
-    /// The X-Request-IDs of all requests in work.
+    /// The X-Request-IDs of all requests in progress.
     pub request_ids: Rc<RefCell<HashSet<String>>>,
-    /// Told where the client leaves.
+    /// Where the client's leaving is reported.
     pub inbox: Inbox,
     /// The request.
     pub id: RequestId,
     /// Its X-Request-ID.
     pub x_request_id: String,
-    /// It has its answer.
+    /// Whether it has its answer.
     pub answered: bool,
 }
 
@@ -42,28 +42,28 @@
     }
 }
 
-/// An answer to a client.
+/// A response to a client.
 pub type Reply = Response<ReplyBody>;
 
-/// The body of an answer.
+/// The body of a reply.
 pub enum ReplyBody {
-    /// Held whole.
+    /// Complete in memory.
     Buffered(Full<Bytes>),
-    /// Passed on as it comes.
+    /// Forwarded as it arrives.
     Streamed(Box<StreamedReply>),
 }
 
-/// A large answer on its way to the client. Dropped before its end it has lost its client.
+/// A large answer being streamed to the client. If it is dropped before its end, the client has left.
 pub struct StreamedReply {
-    /// Gone once it is over.
+    /// None once the answer has ended.
     pub answer: Option<StreamedAnswer>,
-    /// Counts it as taken; gone once it is over.
+    /// Counts the request as pending; none once the answer has ended.
     pub pending_count: Option<PendingRequest>,
-    /// Of its connection.
+    /// The state of the client's connection.
     pub state: Rc<ConnectionState>,
-    /// What it may take.
+    /// The permit for the memory it may use.
     pub _memory: Permit,
-    /// Its request, in work until the end.
+    /// Keeps the request in progress until the end.
     pub _request: InFlightRequest,
 }
 
@@ -102,7 +102,7 @@
         let frame = ready!(answer.body.poll_frame(context));
         let complete = answer.body.is_complete();
         match &frame {
-            // The client can tell: what is announced, or the last chunk, never comes.
+            // The client notices the failure: the announced length, or the last chunk, never arrives.
             Some(Err(_)) => reply.finish(End::Failed),
             None => reply.finish(End::Completed),
             Some(Ok(_)) if complete => reply.finish(End::Completed),
@@ -128,14 +128,14 @@
     }
 }
 
-/// An answer of a few words.
+/// A reply with a short text.
 pub fn text_reply(status: StatusCode, text: &'static str) -> Reply {
     let mut reply = Response::new(ReplyBody::Buffered(Full::new(Bytes::from_static(text.as_bytes()))));
     *reply.status_mut() = status;
     reply
 }
 
-/// Says after how long to come back.
+/// Sets the Retry-After header, in seconds.
 pub fn set_retry_after(reply: &mut Reply, wait: Duration) {
     if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", wait.as_secs_f64())) {
         reply.headers_mut().insert(header::RETRY_AFTER, value);
--- a/src/net/request.rs
+++ b/src/net/request.rs
@@ -1,4 +1,4 @@
-//! Requests as clients word them: what the module is to know of one, its body, and the headers that go on.
+//! Parses client requests: what the policy needs to know of them, the body, and the headers to forward.
 
 use super::outbound::MAX_BUFFERED_BODY;
 use gullpulley::{ClassId, RequestId, Semantics, Settings, TenantId};
@@ -9,16 +9,17 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Bytes a second that a body must keep to besides: half of the slowest that clients send.
+/// Bytes per second that a body must arrive at, beyond its time allowance: half the rate of the slowest
+/// client.
 const MIN_BODY_RATE: f64 = 32_000.0;
 
-/// What requests may say: the settings, and the names in them.
+/// Parses requests by the settings and the names of classes and tenants.
 pub struct RequestParser {
-    /// The module's settings.
+    /// The policy's settings.
     pub settings: Settings,
-    /// Classes, the first part of a request's path.
+    /// Names of the classes; the first segment of a request's path.
     pub classes: Vec<String>,
-    /// Tenants; where there are none every request is anybody's.
+    /// Names of the tenants; if there are none, requests are not told apart by tenant.
     pub tenants: Vec<String>,
 }
 
@@ -29,7 +30,7 @@
         self.classes.iter().position(|class| class == name)
     }
 
-    /// What the module is to know of a request, and the client's time.
+    /// The request as the policy sees it, and the client's time-out.
     pub fn parse(
         &self,
         method: &Method,
@@ -55,7 +56,7 @@
             return Err(bad("Idempotency-Key does not go with the class"));
         }
         let time = header("x-timeout").and_then(parse_timeout).ok_or(bad("X-Timeout is missing or bad"))?;
-        // However long a client says that it waits: what is kept for a request must not pile up.
+        // Limits the time-out that a client may state, so that the state kept for requests stays bounded.
         let time = time.min(self.settings.classes[class].deadline);
         let tenant = match header("x-tenant-id") {
             _ if self.tenants.is_empty() => 0,
@@ -84,7 +85,7 @@
     }
 }
 
-/// Reads a body as far as it is held; with the rest of a longer one.
+/// Reads a body into a buffer, up to the limit; returns the unread rest of a longer one as well.
 pub async fn buffer_body(
     mut body: Incoming,
     lag_deadline: Instant,
@@ -102,7 +103,7 @@
     Ok((buffer.into(), Some(body)))
 }
 
-/// A number and its unit: `m` for milliseconds or `u` for microseconds.
+/// Parses a number and its unit: `m` for milliseconds or `u` for microseconds.
 fn parse_timeout(text: &str) -> Option<Duration> {
     let time = match text.strip_suffix('m') {
         Some(number) => micros(number, 1000.0),
@@ -111,13 +112,13 @@
     time.filter(|time| !time.is_zero())
 }
 
-/// A number of units of so many microseconds.
+/// Converts a number of units, each of `unit` microseconds.
 fn micros(number: &str, unit: f64) -> Option<Duration> {
     let micros = number.parse::<f64>().ok()? * unit;
     (micros >= 0.0 && micros.is_finite()).then(|| Duration::from_micros(micros as u64))
 }
 
-/// Removes what concerns the client's connection alone, and what is set anew for each attempt.
+/// Removes hop-by-hop headers and those that are set anew for each attempt.
 pub fn drop_hop_headers(headers: &mut HeaderMap) {
     let connection_headers: Vec<HeaderName> = (headers.get_all(header::CONNECTION).iter())
         .filter_map(|value| value.to_str().ok())
