--- a/src/net/message.rs
+++ b/src/net/message.rs
@@ -1,4 +1,4 @@
-//! What the parts on the sockets tell the driver, and a request and its answer as they pass between them.
+//! Inputs of the driver, and requests and answers as they are exchanged with it.
 
 use super::list_translator::ListUpdate;
 use super::manual_ejections::ManualEjections;
@@ -17,50 +17,51 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Where the rest of the sidecar reports to the driver.
+/// Where the rest of the sidecar sends inputs to the driver.
 pub type Inbox = UnboundedSender<Input>;
 
-/// Something that happened on a socket.
+/// Something that the driver has to handle.
 pub enum Input {
-    /// A request has come whole.
+    /// A request has arrived; its body is complete or will be streamed.
     Request(Box<IncomingRequest>),
-    /// The body of a request that was passing has gone on whole; its answer must be on its way by then.
+    /// The streamed body of a request has been forwarded completely; its answer must be on its way by this
+    /// time.
     BodyComplete(RequestId, Instant),
-    /// Its client has gone.
+    /// The client of a request has left.
     ClientGone(RequestId),
     /// An attempt ended.
     AttemptEnded(RequestId, AttemptNo, AttemptEnd),
-    /// A probe ended; it took so long.
+    /// A probe ended, after this time.
     ProbeEnded(EndpointId, AttemptEnd, Duration),
-    /// News from discovery.
+    /// An update from discovery.
     ListUpdate(ListUpdate),
-    /// The operators ask whether anybody has this uid.
+    /// Asks whether an endpoint has this uid.
     IsKnown(String, oneshot::Sender<bool>),
-    /// What the operators have said of endpoints, as it stands now; confirmed once it is in force.
+    /// The current manual ejections and resumptions; confirmed once they are in effect.
     ManualEjections(ManualEjections, oneshot::Sender<()>),
-    /// So many processes are this sidecar together.
+    /// Number of processes that this sidecar consists of.
     SidecarProcesses(usize),
-    /// So many balancers share the work.
+    /// Number of balancers that share the load.
     BalancerCount(u32),
-    /// The operators ask how many endpoints there are.
+    /// Asks for the number of endpoints and other figures.
     Stats(oneshot::Sender<BalancerStats>),
-    /// The process must end: fail what is still open.
+    /// The process must exit: fail the pending requests.
     FailPending,
 }
 
-/// A request as it came in.
+/// A request as it arrived.
 pub struct IncomingRequest {
-    /// For the module; its time left is set here.
+    /// As the policy sees it; the driver sets its remaining time.
     pub request: gullpulley::Request,
     /// When the answer must be on its way.
     pub deadline: Instant,
-    /// What goes on to an endpoint.
+    /// What is forwarded to an endpoint.
     pub forward: ForwardedRequest,
-    /// Where the final answer goes.
+    /// Receives the final answer.
     pub answer: oneshot::Sender<Answer>,
 }
 
-/// A request as it goes on to an endpoint.
+/// A request as it is forwarded to an endpoint.
 pub struct ForwardedRequest {
     /// Its method.
     pub method: Method,
@@ -74,19 +75,19 @@
 
 /// The body of a request.
 pub enum RequestBody {
-    /// Held whole.
+    /// Complete in memory.
     Buffered(Bytes),
-    /// Passed on as it comes.
+    /// Forwarded as it arrives.
     Streamed(Rc<Upload>),
 }
 
 impl RequestBody {
-    /// It has begun to go out, and can't be sent again.
+    /// Sending has begun, so the body can't be sent again.
     pub fn is_send_started(&self) -> bool {
         matches!(self, RequestBody::Streamed(upload) if upload.is_send_started())
     }
 
-    /// It came to no proper end.
+    /// The body did not end properly.
     pub fn failed_at_client(&self) -> bool {
         matches!(self, RequestBody::Streamed(upload) if upload.failed_at_client())
     }
@@ -98,11 +99,11 @@
     Served(Bytes),
     /// Served, with a large answer that has begun.
     Streamed(Box<StreamedAnswer>),
-    /// Refused: trying again is harmless, after this long if it is stated.
+    /// Refused: a retry is harmless, after this time if one is given.
     Refused(Option<Duration>),
     /// Failed.
     Failed,
-    /// Failed by a fault of the request's own.
+    /// Failed because the request itself is invalid.
     BadRequest,
 }
 
@@ -112,7 +113,8 @@
         self.headers.get("x-request-id").and_then(|id| id.to_str().ok()).unwrap_or_default()
     }
 
-    /// As an attempt: to this address. One that is held is told its time as it is written.
+    /// The request of an attempt at this address. The time-out header of a buffered one is set when it is
+    /// written.
     pub fn attempt_request(&self, address: SocketAddr, progress: &Rc<Progress>) -> Request<AttemptBody> {
         let body = match &self.body {
             RequestBody::Buffered(body) => AttemptBody::Buffered(Full::new(body.clone())),
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,4 +1,5 @@
-//! A client's connection below HTTP: it is served through one handle, and its end is seen through another.
+//! A client's connection below HTTP: requests are served through one handle, and its end is detected
+//! through another.
 
 use gullpulley::TcpConnection;
 use std::future::poll_fn;
@@ -12,28 +13,29 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, timeout_at};
 
-/// After its end a connection is read on until nothing has come for so long. To close over unread bytes resets it, and
-/// what the system has not yet delivered goes with it: time for that to be sent once more, and read ...
+/// After the last answer a connection is read until nothing has arrived for this long. Closing it with
+/// unread bytes resets it and discards what the system has not yet delivered: this leaves time for one
+/// retransmission, and for the client to read it ...
 const LINGER_GAP: Duration = Duration::from_millis(300);
-/// ... and no longer than this in all: it keeps its descriptor meanwhile.
+/// ... but no longer than this in total: the connection holds a descriptor meanwhile.
 const MAX_LINGER: Duration = Duration::from_secs(2);
-/// Bytes thrown away at once.
+/// Bytes read and discarded at once.
 const DISCARD_BUFFER: usize = 4096;
 
-/// One handle of a client's connection, which closes with the last of them.
+/// A handle to a client's connection, which closes when the last handle is dropped.
 #[derive(Clone)]
 pub struct ClientStream(Rc<TcpConnection>);
 
 impl ClientStream {
-    /// The first handle; what is written goes out at once.
+    /// The first handle. Written data is sent without delay.
     pub fn new(stream: TcpStream) -> Self {
         ClientStream(Rc::new(TcpConnection::new(stream)))
     }
 
-    /// Waits until the client has closed or reset it, or ended its side, while `matters` holds. The HTTP library
-    /// would not look as long as it has bytes of a next request.
+    /// Waits until the client has closed, reset or half-closed the connection while `relevant` holds. The
+    /// HTTP library does not check for this as long as it has buffered bytes of a next request.
     pub async fn client_left(&self, relevant: impl Fn() -> bool) {
-        // Nothing is urgent here, so that only the end of the other side makes this ready.
+        // No urgent data is expected, so that only the end of the other side makes this ready.
         let mut ended = pin!(self.0.ready(Interest::PRIORITY));
         let mut ended_seen = false;
         poll_fn(|context| {
@@ -43,15 +45,15 @@
         .await;
     }
 
-    /// Ends the writing side, and reads on until the client ends its own or rests.
+    /// Shuts down the writing side, and reads until the client closes its own or is silent.
     pub async fn close(self) {
         let deadline = Instant::now() + MAX_LINGER;
         let mut buffer = [0; DISCARD_BUFFER];
-        let _ = self.0.end_writing(); // fails where the client has gone, which the next read tells
+        let _ = self.0.end_writing(); // fails if the client has left, which the next read reports
         let readable = || self.0.ready(Interest::READABLE);
         while let Ok(Ok(_)) = timeout_at(deadline.min(Instant::now() + LINGER_GAP), readable()).await {
             match self.0.try_read(&mut buffer) {
-                Ok(1..) => yield_now().await, // a flood must not hold up others
+                Ok(1..) => yield_now().await, // a flood of data must not delay other tasks
                 Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {}
                 Ok(0) | Err(_) => return,
             }
@@ -87,7 +89,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(())) // nothing is held back here
+        Poll::Ready(Ok(())) // nothing is buffered here
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
