--- a/src/connection.rs
+++ b/src/connection.rs
@@ -1,4 +1,4 @@
-//! A TCP connection as every part of the program uses it: short reads and writes lose nothing.
+//! The TCP connection that all parts of the program use: short reads and writes lose no data.
 
 use std::io;
 use std::net::{Shutdown, SocketAddr};
@@ -9,30 +9,30 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// A connect that this machine fails is tried so often, ...
+/// Attempts at a connect that fails for a local reason, ...
 const MAX_CONNECT_ATTEMPTS: u32 = 4;
-/// ... so far apart: what lacks for a moment is there again, and nothing is told of the other side by then.
+/// ... this far apart: a local shortage is often over by then, and it says nothing about the remote side.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// A connection that is only taken for empty or full when the system says so.
+/// A connection that counts as empty or full only when the system says so.
 ///
-/// Tokio's own stream takes a read or write that is shorter than its buffer to mean that the socket is empty or full,
-/// and then waits for the next event. Linux may return less than there is, and for bytes that already lie there no
-/// further event comes: they would be read with the next ones, or never.
+/// Tokio's own stream takes a read or write shorter than its buffer as a sign that the socket is empty or
+/// full, and then waits for the next event. Linux may return less than is available, and for bytes that are
+/// already there no further event comes: they would be read with the next ones, or never.
 #[derive(Debug)]
 pub struct TcpConnection(TcpStream);
 
 impl TcpConnection {
-    /// Of a stream that is up. What is written goes out at once.
+    /// Wraps a connected stream. Written data is sent without delay.
     pub fn new(stream: TcpStream) -> Self {
-        let _ = stream.set_nodelay(true); // fails only where the other side has gone
+        let _ = stream.set_nodelay(true); // fails only if the remote side has left
         TcpConnection(stream)
     }
 
-    /// Connects. What this machine lacks for a moment says nothing of the other side, and is tried again.
+    /// Connects. A failure for lack of a local resource says nothing about the remote side, and is retried.
     ///
     /// # Errors
-    /// Those of `socket` and `connect`, where they last.
+    /// Those of `socket` and `connect`, if they persist.
     pub async fn connect(address: SocketAddr) -> io::Result<Self> {
         let mut attempts = 1;
         loop {
@@ -46,31 +46,31 @@
         }
     }
 
-    /// Waits for what the system tells of it.
+    /// Waits until the system reports readiness.
     ///
     /// # Errors
-    /// Those of the runtime's driver, where it has been shut down.
+    /// Those of the runtime's I/O driver, if it has been shut down.
     pub async fn ready(&self, interest: Interest) -> io::Result<tokio::io::Ready> {
         self.0.ready(interest).await
     }
 
-    /// Reads what is there.
+    /// Reads the available data.
     ///
     /// # Errors
-    /// `WouldBlock` where nothing is, and those of `recv`.
+    /// `WouldBlock` if there is none, and those of `recv`.
     pub fn try_read(&self, buffer: &mut [u8]) -> io::Result<usize> {
         self.0.try_read(buffer)
     }
 
-    /// Ends its writing side.
+    /// Shuts down the writing side.
     ///
     /// # Errors
-    /// Those of `shutdown`, as where the other side has gone.
+    /// Those of `shutdown`, for example if the remote side has left.
     pub fn end_writing(&self) -> io::Result<()> {
         socket2::SockRef::from(&self.0).shutdown(Shutdown::Write)
     }
 
-    /// Reads into a buffer, waiting until there is something.
+    /// Reads into a buffer, waiting until data is available.
     pub fn poll_read_some(
         &self,
         context: &mut Context<'_>,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Writes from buffers, waiting until there is room.
+    /// Writes from buffers, waiting until there is space.
     pub fn poll_write_some(
         &self,
         context: &mut Context<'_>,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Whether a call failed for what this machine lacks: descriptors, memory, ports, or a way out.
+/// Whether a call failed for lack of a local resource: descriptors, memory, ports, or a route.
 pub fn is_local(error: &io::Error) -> bool {
     let local_errors = [
         libc::EMFILE,
@@ -115,7 +115,7 @@
     error.raw_os_error().is_some_and(|code| local_errors.contains(&code))
 }
 
-/// Whether a call is to be made again: at once after a signal, and once the socket is ready again otherwise.
+/// Whether a call is to be repeated: at once after a signal, otherwise when the socket is ready again.
 fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
@@ -148,7 +148,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(())) // nothing is held back here
+        Poll::Ready(Ok(())) // nothing is buffered here
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/src/net/abort_on_drop.rs
+++ b/src/net/abort_on_drop.rs
@@ -1,12 +1,12 @@
-//! Tasks that end with their holder.
+//! Tasks that are aborted when their holder is dropped.
 
 use tokio::task::AbortHandle;
 
-/// A task that ends with its holder.
+/// Aborts a task when dropped.
 pub struct AbortOnDrop(AbortHandle);
 
 impl AbortOnDrop {
-    /// Ends this task when dropped.
+    /// Takes the handle of the task to abort.
     pub fn new(task: AbortHandle) -> Self {
         AbortOnDrop(task)
     }
--- a/src/net/log_text.rs
+++ b/src/net/log_text.rs
@@ -1,12 +1,13 @@
-//! What the driver writes to the log in words of its own.
+//! Texts that the driver writes to the log.
 
 use gullpulley::Outcome;
 use tracing::info;
 
-/// Endpoints that one list takes out in a line of the log each; more share one, or they would push other lines out.
+/// Number of unavailable endpoints of one list that get a log line each; more share one line, or they would
+/// push out other lines.
 const MAX_SEPARATE_LINES: usize = 16;
 
-/// Says in the log which endpoints a list takes out.
+/// Logs which endpoints a list makes unavailable.
 pub fn log_unavailable(uids: &[String], state: &str) {
     if uids.len() > MAX_SEPARATE_LINES {
         return info!(endpoints = uids.join(" "), "list: {} are {state}", uids.len());
@@ -16,7 +17,7 @@
     }
 }
 
-/// An outcome as the log and the counts of unusual ones name it.
+/// The name of an outcome in the log and in the counts of unusual outcomes.
 pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "ok",
--- a/src/net/process_phase.rs
+++ b/src/net/process_phase.rs
@@ -1,21 +1,21 @@
-//! How far a process is from its first client to its last.
+//! The phases of a process.
 
-/// A process goes through these in turn, and never back.
+/// A process goes through these in order, and never back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
 pub enum Phase {
-    /// It takes no clients yet.
+    /// Not accepting clients yet.
     Starting,
-    /// It takes clients.
+    /// Accepting clients.
     Serving,
-    /// It was told to end: answers what it has taken, and each answer is its connection's last.
+    /// Draining: answers the requests it has accepted, and each answer is the last one on its connection.
     Draining,
-    /// Its time is up: what was open has been failed. What comes whole from now on is refused; sent on, it would be lost
-    /// as the process ends.
+    /// The drain time is over: pending requests have been failed. Requests that become complete from now on
+    /// are refused; if forwarded, they would be lost when the process exits.
     DrainTimedOut,
 }
 
 impl Phase {
-    /// Told to end.
+    /// Whether the process is shutting down.
     pub fn is_ending(self) -> bool {
         self >= Phase::Draining
     }
