--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -11,7 +11,7 @@
 use super::manual_ejections::ManualEjections;
 use super::message::{Answer, Inbox, IncomingRequest, Input, RequestBody};
 use super::outbound::{AttemptEnd, Dispatch, Outbound};
-use super::pending_request::{Attempt, PendingRequest};
+use super::request_state::{Attempt, RequestState};
 use gullpulley::{
     Action, AttemptEnded, AttemptNo, Balancer, EndpointId, EndpointState, Event, Membership, Outcome,
     RequestId, TimerToken,
@@ -36,8 +36,8 @@
     pub outbound: Rc<Outbound>,
     /// Resolves endpoint uids to ids and back.
     pub discovery: Rc<Discovery>,
-    /// Calls that the discovery task is to make.
-    pub calls: UnboundedSender<DiscoveryCommand>,
+    /// Commands for the discovery task.
+    pub discovery_commands: UnboundedSender<DiscoveryCommand>,
     /// Where attempts and probes report their ends.
     pub inbox: Inbox,
     /// The metrics of the process.
@@ -51,7 +51,7 @@
     balancer: Balancer,
     clock: Clock,
     max_attempts: usize,
-    requests: HashMap<RequestId, PendingRequest>,
+    requests: HashMap<RequestId, RequestState>,
     addresses: HashMap<EndpointId, SocketAddr>,
     timers: BinaryHeap<Reverse<(Instant, u64)>>,
     /// Events that result from carrying out actions, and are still to be handled.
@@ -164,17 +164,17 @@
             }
             // The caller may have gone by now.
             Input::IsKnown(uid, to) => drop(to.send(self.is_known(&uid))),
-            Input::ManualEjections(standing, done) => {
-                self.apply_manual_ejections(standing);
+            Input::ManualEjections(ejections, done) => {
+                self.apply_manual_ejections(ejections);
                 let _ = done.send(());
             }
             Input::SidecarProcesses(processes) => {
                 info!("processes of this sidecar: {processes}");
                 self.handle_event(Event::ProcessCountChanged { processes: processes as u32 });
             }
-            Input::BalancerCount(living) => {
-                info!("live balancers of this tier: {living}");
-                self.handle_event(Event::BalancerCountChanged { balancers: living });
+            Input::BalancerCount(balancers) => {
+                info!("live balancers of this tier: {balancers}");
+                self.handle_event(Event::BalancerCountChanged { balancers });
             }
             Input::Stats(to) => drop(to.send(self.balancer.stats(self.clock.now()))),
             Input::FailPending => {
@@ -193,7 +193,7 @@
     fn handle_request(&mut self, incoming: IncomingRequest) {
         let IncomingRequest { mut request, deadline, forward, answer } = incoming;
         request.time_left = deadline.saturating_duration_since(Instant::now());
-        let pending = PendingRequest {
+        let pending = RequestState {
             forward,
             deadline,
             answer: Some(answer),
@@ -296,15 +296,15 @@
     }
 
     /// Tells the policy which endpoints operators have suspended or resumed since the previous state.
-    fn apply_manual_ejections(&mut self, standing: ManualEjections) {
-        let before = std::mem::replace(&mut self.manual_ejections, standing.clone());
-        for uid in standing.suspended.difference(&before.suspended) {
+    fn apply_manual_ejections(&mut self, ejections: ManualEjections) {
+        let before = std::mem::replace(&mut self.manual_ejections, ejections.clone());
+        for uid in ejections.suspended.difference(&before.suspended) {
             info!(endpoint = uid, "endpoint {uid} suspended by an operator");
             let id = self.context.discovery.id(uid);
             self.context.outbound.block_unwritten(id);
             self.handle_event(Event::Suspend(id));
         }
-        for (uid, _) in standing.resumed.iter().filter(|(uid, at)| before.resumed.get(*uid) != Some(at)) {
+        for (uid, _) in ejections.resumed.iter().filter(|(uid, at)| before.resumed.get(*uid) != Some(at)) {
             info!(endpoint = uid, "endpoint {uid} resumed by an operator");
             // Counted from when this process learns of it: its wall clock may have been stepped since.
             let (endpoint, at) = (self.context.discovery.id(uid), self.clock.now());
@@ -400,8 +400,8 @@
                 self.timers.push(Reverse((Instant::now() + after, token.0)));
             }
             // These fail only while the process ends.
-            Action::Watch(on) => drop(self.context.calls.send(DiscoveryCommand::Watch(on))),
-            Action::FetchList => drop(self.context.calls.send(DiscoveryCommand::Fetch)),
+            Action::Watch(on) => drop(self.context.discovery_commands.send(DiscoveryCommand::Watch(on))),
+            Action::FetchList => drop(self.context.discovery_commands.send(DiscoveryCommand::Fetch)),
             Action::Probe { endpoint } => self.probe(endpoint),
             Action::CloseIdle { endpoint } => self.context.outbound.close_idle(endpoint),
             Action::Log(text) => info!("module: {}", text.replace(['\n', '\r'], " ")),
@@ -420,11 +420,11 @@
         let (now, attempt) = (Instant::now(), AttemptNo(pending.attempts.len() as u32));
         let address = self.addresses.get(&endpoint).copied();
         let attempt_deadline = pending.deadline.min(now + timeout);
-        let moot = pending.answer.is_none()
+        let must_not_send = pending.answer.is_none()
             || pending.attempts.len() >= self.max_attempts
             || attempt_deadline <= now;
         let progress = Rc::new(self.context.outbound.new_progress());
-        let Some(address) = address.filter(|_| !moot) else {
+        let Some(address) = address.filter(|_| !must_not_send) else {
             pending.attempts.push(Attempt { endpoint, started_at: now, cancel: None, progress });
             self.pending_events.push_back(Event::AttemptEnded(AttemptEnded {
                 request: id,
@@ -473,7 +473,11 @@
                 // The policy's timer for the deadline may wake the thread before this task's timer.
                 _ = &mut cancelled => {
                     let late = times_out && Instant::now() >= attempt_deadline;
-                    AttemptEnd::without_answer(if late { progress.outcome_on_timeout() } else { progress.outcome_on_cancel() })
+                    AttemptEnd::without_answer(if late {
+                        progress.outcome_on_timeout()
+                    } else {
+                        progress.outcome_on_cancel()
+                    })
                 }
                 ended = outbound.attempt(dispatch, request, &progress) => ended,
                 () = timed_out => AttemptEnd::without_answer(progress.outcome_on_timeout()),
--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -178,8 +178,8 @@
         loop {
             match listener.accept() {
                 Ok((stream, _)) => {
-                    let taken = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
-                    if let Ok(stream) = taken {
+                    let converted = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
+                    if let Ok(stream) = converted {
                         self.admit(stream, self.budget.take(Holder::Client));
                     }
                 }
@@ -270,13 +270,13 @@
         if close_mode == CloseMode::Graceful && !self.budget.clients_near_limit() {
             tokio::select! {
                 () = stream.close() => {}
-                () = self.room_needed(&mut close_signal) => {}
+                () = self.slot_needed(&mut close_signal) => {}
             }
         }
     }
 
     /// Waits until connections are to free their slots, and not only to close for the drain.
-    async fn room_needed(&self, close_signal: &mut watch::Receiver<()>) {
+    async fn slot_needed(&self, close_signal: &mut watch::Receiver<()>) {
         // The sender lives as long as self.
         while close_signal.changed().await.is_ok() && self.phase.get().is_ending() {}
     }
@@ -304,14 +304,16 @@
         loop {
             tokio::select! {
                 biased;
-                _ = connection.as_mut() => return CloseMode::Graceful, // an error here means that the client left
+                _ = connection.as_mut() => return CloseMode::Graceful, // an error: the client left
                 // A client that has left gets no answer, whatever else it had sent.
                 () = client_left.as_mut() => return CloseMode::Immediate,
                 _ = close_signal.changed() => match state.idle_time() {
                     _ if state.answering.get() => state.close_after_answer.set(true),
                     // On a new connection the first request is probably already on its way: closing now
                     // would lose what the client is just sending.
-                    None if self.phase.get().is_ending() => new_connection_until = Some(Instant::now() + NEW_CONNECTION_GRACE),
+                    None if self.phase.get().is_ending() => {
+                        new_connection_until = Some(Instant::now() + NEW_CONNECTION_GRACE);
+                    }
                     // A connection used recently is likely to be used again at once, and a request that
                     // crosses the close is lost, or sent twice: the next answer announces the close
                     // instead.
@@ -328,12 +330,16 @@
                     }
                 }
                 // The previous answer did not announce that it was the last one.
-                () = state.streaming_changed.notified() => if state.close_after_answer.get() && !state.answering.get() {
-                    connection.as_mut().graceful_shutdown();
-                },
-                () = sleep_until_some(state.client_stalled_at()) => if state.client_stalled_at().is_some_and(|at| at <= Instant::now()) {
-                    return CloseMode::Immediate;
-                },
+                () = state.streaming_changed.notified() => {
+                    if state.close_after_answer.get() && !state.answering.get() {
+                        connection.as_mut().graceful_shutdown();
+                    }
+                }
+                () = sleep_until_some(state.client_stalled_at()) => {
+                    if state.client_stalled_at().is_some_and(|at| at <= Instant::now()) {
+                        return CloseMode::Immediate;
+                    }
+                }
                 () = sleep_until_some(new_connection_until) => {
                     new_connection_until = None;
                     if !state.answering.get() {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,15 +1,15 @@
 //! The sidecar's I/O. This file has start-up, signals and the wiring of the modules; the modules, in an
 //! order in which each depends only on those before it:
 //!
-//! `abort_on_drop`, `clock`, `start_times`, `list_translator`, `budget`, `persistence`, `discovery_health`, `discovery_call`,
-//! `peers`, `counters`, `manual_ejections`, `hot_restart`: tasks, time, lists in the policy's types, limits on sockets
+//! `abort_on_drop`, `clock`, `start_times`, `list_translator`, `budget`, `persistence`, `discovery_health`,
+//! `discovery_call`, `peers`, `counters`, `manual_ejections`, `hot_restart`: tasks, time, lists in the policy's types, limits on sockets
 //! and memory, persisted state, metrics of discovery, calls to it, the fleet, counters, suspended
 //! endpoints, other processes of this sidecar;
 //! `progress`, `streamed_body`: progress of an attempt, streamed bodies;
 //! `outbound`, `discovery`: connections to endpoints and to discovery;
-//! `log_text`, `message`, `pending_request`, `driver`: turn I/O into the policy's events, and carry out its actions;
-//! `process_phase`, `stream`, `request`, `connection_state`, `reply`, `inbound`: phase of this process, client connections, requests and
-//! answers;
+//! `log_text`, `message`, `request_state`, `driver`: turn I/O into the policy's events, and carry out its actions;
+//! `process_phase`, `stream`, `request`, `connection_state`, `reply`, `inbound`: phase of this process,
+//! client connections, requests and answers;
 //! `control`: the admin API.
 
 mod abort_on_drop;
@@ -30,12 +30,12 @@
 mod message;
 mod outbound;
 mod peers;
-mod pending_request;
 mod persistence;
 mod process_phase;
 mod progress;
 mod reply;
 mod request;
+mod request_state;
 mod start_times;
 mod stream;
 mod streamed_body;
@@ -195,7 +195,7 @@
     let context = DriverContext {
         outbound: outbound.clone(),
         discovery: discovery.clone(),
-        calls: commands,
+        discovery_commands: commands,
         inbox: inbox.clone(),
         counters: counters.clone(),
         list_usable: watch::Sender::new(false),
--- a/src/net/outbound.rs
+++ b/src/net/outbound.rs
@@ -65,7 +65,7 @@
 /// Sets the header that tells an endpoint how long its answer is waited for.
 pub fn set_time_left(headers: &mut HeaderMap, left: Duration) {
     let text = format!("{}u", left.as_micros());
-    let value = HeaderValue::from_str(&text).unwrap_or(HeaderValue::from_static("")); // the digits and unit are always valid
+    let value = HeaderValue::from_str(&text).unwrap_or(HeaderValue::from_static("")); // always valid
     headers.insert(HeaderName::from_static("x-timeout"), value);
 }
 
--- a/src/net/pending_request.rs
+++ b/src/net/request_state.rs
@@ -30,7 +30,7 @@
 }
 
 /// A request until it has its final answer and all its attempts have ended.
-pub struct PendingRequest {
+pub struct RequestState {
     /// What is forwarded to endpoints.
     pub forward: ForwardedRequest,
     /// When the answer must be on its way.
@@ -43,7 +43,7 @@
     pub unfinished_attempts: usize,
 }
 
-impl PendingRequest {
+impl RequestState {
     /// Cancels attempts that have not been written yet. Nobody waits for them any more, and letting one
     /// start only now would be a new send, whatever the settings say about cancelling attempts that have
     /// started.
