--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -1,8 +1,8 @@
 //! The admin API: readiness, metrics, drain, and suspending and resuming endpoints. One call per
 //! connection.
 
+use super::abort_on_drop::AbortOnDrop;
 use super::counters::Counters;
-use super::guard::Guard;
 use super::inbound::Inbound;
 use super::manual_ejections::{ManualEjectionError, ManualEjectionStore, ManualEjections, Order, Version};
 use super::message::{Inbox, Input};
@@ -69,7 +69,7 @@
     received: Rc<Cell<bool>>,
     closed: Rc<Cell<bool>>,
     /// Dropping it closes the connection.
-    _task: Guard,
+    _task: AbortOnDrop,
 }
 
 type Reply = Response<Full<Bytes>>;
@@ -175,7 +175,11 @@
             let _ = timeout(CONNECTION_TIMEOUT, this.handle_connection(stream, &flags.0)).await;
             flags.1.set(true);
         });
-        connections.push_back(Connection { received, closed, _task: Guard::new(task.abort_handle()) });
+        connections.push_back(Connection {
+            received,
+            closed,
+            _task: AbortOnDrop::new(task.abort_handle()),
+        });
     }
 
     async fn handle_connection(&self, stream: TcpStream, received: &Cell<bool>) {
@@ -214,7 +218,7 @@
             return reply;
         }
         match resource {
-            Resource::Ready if self.inbound.takes_clients() => text(StatusCode::OK, "ready\n"),
+            Resource::Ready if self.inbound.is_serving() => text(StatusCode::OK, "ready\n"),
             Resource::Ready => text(StatusCode::SERVICE_UNAVAILABLE, "takes no clients\n"),
             Resource::Metrics => match self.ask(Input::Stats).await {
                 Some(stats) => self.metrics(stats, uri.query()),
@@ -248,7 +252,7 @@
 
     async fn handle_order(&self, uid: &str, order: Order) -> Reply {
         let _lock = self.order_lock.lock().await;
-        if self.ask(|to| Input::Known(uid.to_owned(), to)).await != Some(true) {
+        if self.ask(|to| Input::IsKnown(uid.to_owned(), to)).await != Some(true) {
             return text(StatusCode::NOT_FOUND, "no endpoint has this id\n");
         }
         let (ejections, order_uid) = (self.ejections.clone(), uid.to_owned());
@@ -273,7 +277,7 @@
 
     /// Puts manual ejections in force.
     async fn apply(&self, updated: ManualEjections) {
-        let _ = self.ask(|done| Input::Standing(updated, done)).await; // fails only while the process ends
+        let _ = self.ask(|done| Input::ManualEjections(updated, done)).await; // fails only while the process ends
     }
 
     /// Sends an input to the driver and waits for its answer; none while the process ends.
--- a/src/net/message.rs
+++ b/src/net/message.rs
@@ -1,10 +1,10 @@
-//! What the parts on the sockets tell the driver, and a request and its answer as they pass between them.
+//! Inputs of the driver, and requests and answers as they are exchanged with it.
 
 use super::list_translator::ListUpdate;
 use super::manual_ejections::ManualEjections;
-use super::outbound::{Ended, Passing, set_time_left};
-use super::passing::{Payload, Upload};
+use super::outbound::{AttemptEnd, StreamedAnswer, set_time_left};
 use super::progress::Progress;
+use super::streamed_body::{AttemptBody, Upload};
 use gullpulley::{AttemptNo, BalancerStats, EndpointId, RequestId};
 use http_body_util::Full;
 use hyper::body::Bytes;
@@ -17,51 +17,52 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Where the rest of the sidecar reports to the driver.
+/// Where the rest of the sidecar sends inputs to the driver.
 pub type Inbox = UnboundedSender<Input>;
 
-/// Something that happened on a socket.
+/// Something that the driver has to handle.
 pub enum Input {
-    /// A request has come whole.
-    Arrived(Box<Arrival>),
-    /// The body of a request that was passing has gone on whole; its answer must be on its way by then.
-    Whole(RequestId, Instant),
-    /// Its client has gone.
+    /// A request has arrived; its body is complete or will be streamed.
+    Request(Box<IncomingRequest>),
+    /// The streamed body of a request has been forwarded completely; its answer must be on its way by this
+    /// time.
+    BodyComplete(RequestId, Instant),
+    /// The client of a request has left.
     ClientGone(RequestId),
     /// An attempt ended.
-    AttemptEnded(RequestId, AttemptNo, Ended),
-    /// A probe ended; it took so long.
-    ProbeEnded(EndpointId, Ended, Duration),
-    /// News from discovery.
-    List(ListUpdate),
-    /// The operators ask whether anybody has this uid.
-    Known(String, oneshot::Sender<bool>),
-    /// What the operators have said of endpoints, as it stands now; confirmed once it is in force.
-    Standing(ManualEjections, oneshot::Sender<()>),
-    /// So many processes are this sidecar together.
-    Shared(usize),
-    /// So many balancers share the work.
-    Balancers(u32),
-    /// The operators ask how many endpoints there are.
+    AttemptEnded(RequestId, AttemptNo, AttemptEnd),
+    /// A probe ended, after this time.
+    ProbeEnded(EndpointId, AttemptEnd, Duration),
+    /// An update from discovery.
+    ListUpdate(ListUpdate),
+    /// Asks whether an endpoint has this uid.
+    IsKnown(String, oneshot::Sender<bool>),
+    /// The current manual ejections and resumptions; confirmed once they are in effect.
+    ManualEjections(ManualEjections, oneshot::Sender<()>),
+    /// Number of processes that this sidecar consists of.
+    SidecarProcesses(usize),
+    /// Number of balancers that share the load.
+    BalancerCount(u32),
+    /// Asks for the number of endpoints and other figures.
     Stats(oneshot::Sender<BalancerStats>),
-    /// The process must end: fail what is still open.
-    GiveUp,
+    /// The process must exit: fail the pending requests.
+    FailPending,
 }
 
-/// A request as it came in.
-pub struct Arrival {
-    /// For the module; its time left is set here.
+/// A request as it arrived.
+pub struct IncomingRequest {
+    /// As the policy sees it; the driver sets its remaining time.
     pub request: gullpulley::Request,
     /// When the answer must be on its way.
     pub deadline: Instant,
-    /// What goes on to an endpoint.
-    pub forward: Forward,
-    /// Where the final answer goes.
+    /// What is forwarded to an endpoint.
+    pub forward: ForwardedRequest,
+    /// Receives the final answer.
     pub answer: oneshot::Sender<Answer>,
 }
 
-/// A request as it goes on to an endpoint.
-pub struct Forward {
+/// A request as it is forwarded to an endpoint.
+pub struct ForwardedRequest {
     /// Its method.
     pub method: Method,
     /// Path and query.
@@ -69,26 +70,26 @@
     /// End-to-end headers.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: Content,
+    pub body: RequestBody,
 }
 
 /// The body of a request.
-pub enum Content {
-    /// Held whole.
-    Held(Bytes),
-    /// Passed on as it comes.
-    Passed(Rc<Upload>),
+pub enum RequestBody {
+    /// Complete in memory.
+    Buffered(Bytes),
+    /// Forwarded as it arrives.
+    Streamed(Rc<Upload>),
 }
 
-impl Content {
-    /// It has begun to go out, and can't be sent again.
-    pub fn spent(&self) -> bool {
-        matches!(self, Content::Passed(upload) if upload.spent())
+impl RequestBody {
+    /// Sending has begun, so the body can't be sent again.
+    pub fn is_send_started(&self) -> bool {
+        matches!(self, RequestBody::Streamed(upload) if upload.is_send_started())
     }
 
-    /// It came to no proper end.
-    pub fn faulty(&self) -> bool {
-        matches!(self, Content::Passed(upload) if upload.faulty())
+    /// The body did not end properly.
+    pub fn failed_at_client(&self) -> bool {
+        matches!(self, RequestBody::Streamed(upload) if upload.failed_at_client())
     }
 }
 
@@ -97,28 +98,29 @@
     /// Served, with the body of an endpoint's answer.
     Served(Bytes),
     /// Served, with a large answer that has begun.
-    Passing(Box<Passing>),
-    /// Refused: trying again is harmless, after this long if it is stated.
+    Streamed(Box<StreamedAnswer>),
+    /// Refused: a retry is harmless, after this time if one is given.
     Refused(Option<Duration>),
     /// Failed.
     Failed,
-    /// Failed by a fault of the request's own.
-    Rejected,
+    /// Failed because the request itself is invalid.
+    BadRequest,
 }
 
-impl Forward {
+impl ForwardedRequest {
     /// Its X-Request-ID.
-    pub fn id(&self) -> &str {
+    pub fn x_request_id(&self) -> &str {
         self.headers.get("x-request-id").and_then(|id| id.to_str().ok()).unwrap_or_default()
     }
 
-    /// As an attempt: to this address. One that is held is told its time as it is written.
-    pub fn request(&self, address: SocketAddr, progress: &Rc<Progress>) -> Request<Payload> {
+    /// The request of an attempt at this address. The time-out header of a buffered one is set when it is
+    /// written.
+    pub fn attempt_request(&self, address: SocketAddr, progress: &Rc<Progress>) -> Request<AttemptBody> {
         let body = match &self.body {
-            Content::Held(body) => Payload::Held(Full::new(body.clone())),
-            Content::Passed(upload) => {
-                let (pieces, progress) = (None, progress.clone());
-                Payload::Passed { upload: upload.clone(), pieces, progress }
+            RequestBody::Buffered(body) => AttemptBody::Buffered(Full::new(body.clone())),
+            RequestBody::Streamed(upload) => {
+                let (body, progress) = (None, progress.clone());
+                AttemptBody::Streamed { upload: upload.clone(), body, progress }
             }
         };
         let mut request = Request::new(body);
@@ -128,8 +130,8 @@
         let headers = request.headers_mut();
         let host = HeaderValue::from_str(&address.to_string()).unwrap_or(HeaderValue::from_static(""));
         headers.insert(header::HOST, host);
-        if let Content::Passed(upload) = &self.body {
-            set_time_left(headers, upload.time);
+        if let RequestBody::Streamed(upload) = &self.body {
+            set_time_left(headers, upload.answer_time);
         }
         request
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,44 +1,44 @@
 //! The sidecar's I/O. This file has start-up, signals and the wiring of the modules; the modules, in an
 //! order in which each depends only on those before it:
 //!
-//! `guard`, `clock`, `start_times`, `list_translator`, `budget`, `persistence`, `discovery_health`, `discovery_call`,
-//! `peers`, `counters`, `manual_ejections`, `hot_restart`: tasks, time, lists in the policy's types, limits on sockets
+//! `abort_on_drop`, `clock`, `start_times`, `list_translator`, `budget`, `persistence`, `discovery_health`,
+//! `discovery_call`, `peers`, `counters`, `manual_ejections`, `hot_restart`: tasks, time, lists in the policy's types, limits on sockets
 //! and memory, persisted state, metrics of discovery, calls to it, the fleet, counters, suspended
 //! endpoints, other processes of this sidecar;
-//! `progress`, `passing`: progress of an attempt, streamed bodies;
+//! `progress`, `streamed_body`: progress of an attempt, streamed bodies;
 //! `outbound`, `discovery`: connections to endpoints and to discovery;
-//! `log_text`, `message`, `open`, `driver`: turn I/O into the policy's events, and carry out its actions;
-//! `phase`, `stream`, `request`, `turn`, `reply`, `inbound`: phase of this process, client connections, requests and
-//! answers;
+//! `log_text`, `message`, `request_state`, `driver`: turn I/O into the policy's events, and carry out its actions;
+//! `process_phase`, `stream`, `request`, `connection_state`, `reply`, `inbound`: phase of this process,
+//! client connections, requests and answers;
 //! `control`: the admin API.
 
+mod abort_on_drop;
 mod budget;
 mod clock;
+mod connection_state;
 mod control;
 mod counters;
 mod discovery;
 mod discovery_call;
 mod discovery_health;
 mod driver;
-mod guard;
 mod hot_restart;
 mod inbound;
 mod list_translator;
 mod log_text;
 mod manual_ejections;
 mod message;
-mod open;
 mod outbound;
-mod passing;
 mod peers;
 mod persistence;
-mod phase;
+mod process_phase;
 mod progress;
 mod reply;
 mod request;
+mod request_state;
 mod start_times;
 mod stream;
-mod turn;
+mod streamed_body;
 
 use crate::logging::LogHandle;
 use budget::Budget;
@@ -47,7 +47,7 @@
 use counters::Counters;
 use discovery::{Discovery, DiscoveryCommand};
 use discovery_health::DiscoveryHealth;
-use driver::{Around, Driver};
+use driver::{Driver, DriverContext};
 use gullpulley::config::{
     Config, ConfigError, DOOR_RESERVE, Difference, Fault, Named, Vars, differences, keys,
 };
@@ -59,7 +59,7 @@
 use outbound::Outbound;
 use peers::Peers;
 use persistence::Persistence;
-use request::Wording;
+use request::RequestParser;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -146,7 +146,7 @@
         let inbox = inbox.clone();
         // Fails only while the process ends.
         spawn_local(
-            peers.clone().report_balancers(move |living| drop(inbox.send(Input::Balancers(living)))),
+            peers.clone().report_balancers(move |living| drop(inbox.send(Input::BalancerCount(living)))),
         );
         let (peers, persistence) = (peers.clone(), persistence.clone());
         spawn_local(async move {
@@ -164,7 +164,7 @@
     let counters = Counters::new(&classes, log, health.clone(), persistence, peers.clone());
     let outbound = Outbound::new(&settings, budget.clone(), counters.clone());
     let inbound = Inbound::new(
-        Wording { settings: settings.clone(), classes, tenants },
+        RequestParser { settings: settings.clone(), classes, tenants },
         budget.clone(),
         counters.clone(),
         outbound.clone(),
@@ -172,12 +172,12 @@
     );
     let updates = inbox.clone();
     let discovery = Discovery::new(discovery, &settings, names, seed, health, clock, move |update| {
-        let _ = updates.send(Input::List(update)); // fails only while the process ends
+        let _ = updates.send(Input::ListUpdate(update)); // fails only while the process ends
     });
     let ejections = ManualEjectionStore::new(&std::env::temp_dir(), &name);
     if control.is_some() {
         // Before the first list, hence before the first attempt.
-        let _ = inbox.send(Input::Standing(read_ejections(&ejections), oneshot::channel().0));
+        let _ = inbox.send(Input::ManualEjections(read_ejections(&ejections), oneshot::channel().0));
     }
     let sharing = control.and_then(|_| register_process(&name)).map(|registration| ProcessSharing {
         registration,
@@ -191,26 +191,26 @@
         sharing.refresh();
     }
     // The cached list is applied before the first client is accepted.
-    let _ = inbox.send(Input::List(discovery.cached(known)));
+    let _ = inbox.send(Input::ListUpdate(discovery.cached(known)));
     let attempts = settings.limits.max_attempts;
     let (rules, discovery_mode) = (settings.rules.clone(), settings.discovery);
     spawn_local(reload.run(hup, commands.clone()));
-    let around = Around {
+    let context = DriverContext {
         outbound: outbound.clone(),
         discovery: discovery.clone(),
-        calls: commands,
+        discovery_commands: commands,
         inbox: inbox.clone(),
         counters: counters.clone(),
-        list_holds: watch::Sender::new(false),
+        list_usable: watch::Sender::new(false),
     };
-    let mut list_holds = around.list_holds.subscribe();
-    let driver = Driver::new(balancer, clock, attempts, around);
+    let mut list_usable = context.list_usable.subscribe();
+    let driver = Driver::new(balancer, clock, attempts, context);
     let mut driver = spawn_local(driver.run(inputs));
     spawn_local(discovery.clone().run(received_commands));
     spawn_local(outbound.clone().sweep());
     let startup = async {
         // The predecessor or other sidecars serve meanwhile: the cached list may be stale.
-        if timeout(LIST_WAIT, list_holds.wait_for(|holds| *holds)).await.is_err() {
+        if timeout(LIST_WAIT, list_usable.wait_for(|usable| *usable)).await.is_err() {
             warn!("no endpoint list in {LIST_WAIT:?}: requests are queued until discovery tells one");
         }
         if let Some(sharing) = sharing {
@@ -313,8 +313,8 @@
     fn refresh(&self) -> usize {
         let others = self.registration.count_others();
         if self.budget.share(others + 1) {
-            let _ = self.inbox.send(Input::Shared(others + 1));
-            self.outbound.shrink();
+            let _ = self.inbox.send(Input::SidecarProcesses(others + 1));
+            self.outbound.close_idle_over_budget();
         }
         others
     }
@@ -322,7 +322,7 @@
     async fn run(self) {
         loop {
             sleep(PROCESS_CHECK_INTERVAL).await;
-            self.inbound.succeeded(self.refresh() > 0);
+            self.inbound.set_other_process_serving(self.refresh() > 0);
         }
     }
 }
