--- a/src/connection.rs
+++ b/src/connection.rs
@@ -37,7 +37,7 @@
         let mut attempts = 1;
         loop {
             match TcpStream::connect(address).await {
-                Err(e) if attempts < MAX_CONNECT_ATTEMPTS && is_local(&e) => {
+                Err(e) if attempts < MAX_CONNECT_ATTEMPTS && is_local_failure(&e) => {
                     attempts += 1;
                     sleep(CONNECT_RETRY_DELAY).await;
                 }
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     /// Those of `shutdown`, for example if the remote side has left.
-    pub fn end_writing(&self) -> io::Result<()> {
+    pub fn shutdown_write(&self) -> io::Result<()> {
         socket2::SockRef::from(&self.0).shutdown(Shutdown::Write)
     }
 
@@ -102,7 +102,7 @@
 }
 
 /// Whether a call failed for lack of a local resource: descriptors, memory, ports, or a route.
-pub fn is_local(error: &io::Error) -> bool {
+pub fn is_local_failure(error: &io::Error) -> bool {
     let local_errors = [
         libc::EMFILE,
         libc::ENFILE,
@@ -152,6 +152,6 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(self.end_writing())
+        Poll::Ready(self.shutdown_write())
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -35,7 +35,7 @@
 mod stats;
 
 pub use api::*;
-pub use connection::{TcpConnection, is_local};
+pub use connection::{TcpConnection, is_local_failure};
 pub use names::EndpointNames;
 pub use policy::{
     Balancer, Continuity, DiscoverySchedule, LISTING_DELAY, LeaseEnd, LeaseEndReason, ListLease,
--- a/src/net/inbound.rs
+++ b/src/net/inbound.rs
@@ -10,7 +10,7 @@
 use super::request::{RequestParser, buffer_body, drop_hop_headers};
 use super::stream::ClientStream;
 use super::streamed_body::{MAX_BODY, StreamedBody, Upload};
-use gullpulley::{RequestId, is_local};
+use gullpulley::{RequestId, is_local_failure};
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderValue};
@@ -186,7 +186,7 @@
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 // The fault of one connection, or of the call: others may be queued behind it, which
                 // closing would reset.
-                Err(e) if !is_local(&e) => errors += 1,
+                Err(e) if !is_local_failure(&e) => errors += 1,
                 Err(_) => {
                     errors += 1;
                     self.outbound.close_oldest_idle();
@@ -214,7 +214,7 @@
             }
             // One aborted connection or a signal: no resource is lacking, and the next connection may be
             // waiting.
-            Err(e) if !is_local(&e) => {
+            Err(e) if !is_local_failure(&e) => {
                 debug!("accept: {e}");
                 sleep(ABORTED_ACCEPT_DELAY).await; // an error that persists must not block the thread
             }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -51,7 +51,7 @@
 use gullpulley::config::{
     Config, ConfigError, DOOR_RESERVE, Difference, Fault, Named, Vars, differences, keys,
 };
-use gullpulley::{Balancer, is_local};
+use gullpulley::{Balancer, is_local_failure};
 use hot_restart::ProcessRegistration;
 use inbound::Inbound;
 use manual_ejections::{ManualEjectionStore, ManualEjections};
@@ -265,7 +265,7 @@
 /// memory.
 fn is_transient(error: &io::Error) -> bool {
     let kind = error.kind();
-    kind == io::ErrorKind::AddrInUse || kind != io::ErrorKind::AddrNotAvailable && is_local(error)
+    kind == io::ErrorKind::AddrInUse || kind != io::ErrorKind::AddrNotAvailable && is_local_failure(error)
 }
 
 /// Binds, and retries for up to [`BIND_RETRY_FOR`] after a transient error.
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -49,7 +49,7 @@
     pub async fn close(self) {
         let deadline = Instant::now() + MAX_LINGER;
         let mut buffer = [0; DISCARD_BUFFER];
-        let _ = self.0.end_writing(); // fails if the client has left, which the next read reports
+        let _ = self.0.shutdown_write(); // fails if the client has left, which the next read reports
         let readable = || self.0.ready(Interest::READABLE);
         while let Ok(Ok(_)) = timeout_at(deadline.min(Instant::now() + LINGER_GAP), readable()).await {
             match self.0.try_read(&mut buffer) {
@@ -93,6 +93,6 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(self.0.end_writing())
+        Poll::Ready(self.0.shutdown_write())
     }
 }
