--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -10,7 +10,7 @@
 use super::log_text::{log_unavailable, outcome_name};
 use super::manual_ejections::ManualEjections;
 use super::message::{Answer, Inbox, IncomingRequest, Input, RequestBody};
-use super::outbound::{AttemptEnd, Dispatch, Outbound};
+use super::outbound::{AttemptResult, Dispatch, Outbound};
 use super::request_state::{Attempt, RequestState};
 use gullpulley::{
     Action, AttemptEnded, AttemptNo, Balancer, EndpointId, EndpointState, Event, Membership, Outcome,
@@ -150,8 +150,8 @@
             Input::Request(incoming) => self.handle_request(*incoming),
             Input::BodyComplete(id, deadline) => self.handle_body_complete(id, deadline),
             Input::ClientGone(id) => self.handle_client_gone(id),
-            Input::AttemptEnded(id, attempt, ended) => self.handle_attempt_end(id, attempt, ended),
-            Input::ProbeEnded(endpoint, AttemptEnd { outcome, report, connected_for, .. }, elapsed) => {
+            Input::AttemptEnded(id, attempt, result) => self.handle_attempt_end(id, attempt, result),
+            Input::ProbeEnded(endpoint, AttemptResult { outcome, report, connected_for, .. }, elapsed) => {
                 self.report_answer(endpoint, connected_for);
                 self.handle_event(Event::ProbeEnded { endpoint, outcome, elapsed, report });
             }
@@ -232,7 +232,7 @@
         self.remove_if_done(id);
     }
 
-    fn handle_attempt_end(&mut self, id: RequestId, attempt: AttemptNo, ended: AttemptEnd) {
+    fn handle_attempt_end(&mut self, id: RequestId, attempt: AttemptNo, result: AttemptResult) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
         let Some(entry) = pending.attempts.get_mut(attempt.0 as usize) else { return };
         if entry.cancel.take().is_none() {
@@ -240,7 +240,7 @@
         }
         pending.unfinished_attempts -= 1;
         let (endpoint, sent, elapsed) = (entry.endpoint, entry.started_at, entry.started_at.elapsed());
-        let AttemptEnd { mut outcome, body, streamed, bad_request, report, connected_for } = ended;
+        let AttemptResult { mut outcome, body, streamed, bad_request, report, connected_for } = result;
         debug!(
             request = pending.forward.x_request_id(),
             attempt = attempt.0,
@@ -468,21 +468,21 @@
                     Some(upload) => upload.timed_out().await,
                 }
             };
-            let ended = tokio::select! {
+            let result = tokio::select! {
                 biased;
                 // The policy's timer for the deadline may wake the thread before this task's timer.
                 _ = &mut cancelled => {
                     let late = times_out && Instant::now() >= attempt_deadline;
-                    AttemptEnd::without_answer(if late {
+                    AttemptResult::without_answer(if late {
                         progress.outcome_on_timeout()
                     } else {
                         progress.outcome_on_cancel()
                     })
                 }
-                ended = outbound.attempt(dispatch, request, &progress) => ended,
-                () = timed_out => AttemptEnd::without_answer(progress.outcome_on_timeout()),
+                result = outbound.attempt(dispatch, request, &progress) => result,
+                () = timed_out => AttemptResult::without_answer(progress.outcome_on_timeout()),
             };
-            let _ = inbox.send(Input::AttemptEnded(id, attempt, ended));
+            let _ = inbox.send(Input::AttemptEnded(id, attempt, result));
         });
     }
 
@@ -494,8 +494,8 @@
         let (outbound, inbox, sent) =
             (self.context.outbound.clone(), self.context.inbox.clone(), Instant::now());
         spawn_local(async move {
-            let ended = outbound.probe(endpoint, address).await;
-            let _ = inbox.send(Input::ProbeEnded(endpoint, ended, sent.elapsed()));
+            let result = outbound.probe(endpoint, address).await;
+            let _ = inbox.send(Input::ProbeEnded(endpoint, result, sent.elapsed()));
         });
     }
 
--- a/src/net/message.rs
+++ b/src/net/message.rs
@@ -2,7 +2,7 @@
 
 use super::list_translator::ListUpdate;
 use super::manual_ejections::ManualEjections;
-use super::outbound::{AttemptEnd, StreamedAnswer, set_time_left};
+use super::outbound::{AttemptResult, StreamedAnswer, set_time_left};
 use super::progress::Progress;
 use super::streamed_body::{AttemptBody, Upload};
 use gullpulley::{AttemptNo, BalancerStats, EndpointId, RequestId};
@@ -30,9 +30,9 @@
     /// The client of a request has left.
     ClientGone(RequestId),
     /// An attempt ended.
-    AttemptEnded(RequestId, AttemptNo, AttemptEnd),
+    AttemptEnded(RequestId, AttemptNo, AttemptResult),
     /// A probe ended, after this time.
-    ProbeEnded(EndpointId, AttemptEnd, Duration),
+    ProbeEnded(EndpointId, AttemptResult, Duration),
     /// An update from discovery.
     ListUpdate(ListUpdate),
     /// Asks whether an endpoint has this uid.
--- a/src/net/outbound.rs
+++ b/src/net/outbound.rs
@@ -69,8 +69,8 @@
     headers.insert(HeaderName::from_static("x-timeout"), value);
 }
 
-/// How an attempt or a probe ended.
-pub struct AttemptEnd {
+/// The result of an attempt or a probe.
+pub struct AttemptResult {
     /// The outcome.
     pub outcome: Outcome,
     /// The body of a 200, if it is buffered.
@@ -85,11 +85,11 @@
     pub connected_for: Option<Duration>,
 }
 
-impl AttemptEnd {
-    /// An end without an answer.
+impl AttemptResult {
+    /// The result of an attempt or a probe without an answer.
     pub fn without_answer(outcome: Outcome) -> Self {
         let (body, streamed, bad_request, report, connected_for) = Default::default();
-        AttemptEnd { outcome, body, streamed, bad_request, report, connected_for }
+        AttemptResult { outcome, body, streamed, bad_request, report, connected_for }
     }
 }
 
@@ -161,7 +161,7 @@
         dispatch: Dispatch,
         mut request: Request<AttemptBody>,
         progress: &Progress,
-    ) -> AttemptEnd {
+    ) -> AttemptResult {
         let Dispatch { endpoint, address, decided_at, write_by, announced_deadline } = dispatch;
         let past_write_by = || write_by.is_some_and(|by| Instant::now() >= by);
         let (connection, response) = loop {
@@ -169,24 +169,24 @@
                 Some(connection) => (connection, false),
                 None => match self.connect(address, write_by).await {
                     Some(connection) => (connection, true),
-                    None if past_write_by() => return AttemptEnd::without_answer(Outcome::NotSent),
-                    None => return AttemptEnd::without_answer(Outcome::ConnectFailed),
+                    None if past_write_by() => return AttemptResult::without_answer(Outcome::NotSent),
+                    None => return AttemptResult::without_answer(Outcome::ConnectFailed),
                 },
             };
             // An idle connection may turn out to be closed only now.
             if !matches!(timeout(self.connect_timeout, connection.sender.ready()).await, Ok(Ok(()))) {
                 if fresh {
-                    return AttemptEnd::without_answer(Outcome::ConnectFailed);
+                    return AttemptResult::without_answer(Outcome::ConnectFailed);
                 }
                 continue;
             }
             // Connecting takes time; an update that arrived meanwhile applies before anything is written.
             if self.blocked_at.borrow().get(&endpoint).is_some_and(|at| *at >= decided_at) {
-                return AttemptEnd::without_answer(Outcome::ConnectFailed);
+                return AttemptResult::without_answer(Outcome::ConnectFailed);
             }
             if past_write_by() {
                 self.return_idle(endpoint, connection);
-                return AttemptEnd::without_answer(Outcome::NotSent);
+                return AttemptResult::without_answer(Outcome::NotSent);
             }
             // Connecting took part of the client's remaining time: the endpoint is told what is left now.
             if let Some(announced_deadline) = announced_deadline {
@@ -206,31 +206,31 @@
                         progress.set_written(false);
                         request = unsent;
                         if fresh {
-                            return AttemptEnd::without_answer(Outcome::ConnectFailed);
+                            return AttemptResult::without_answer(Outcome::ConnectFailed);
                         }
                     }
                     // Part of it may have been written, so the endpoint may have received all of it.
-                    None => return AttemptEnd::without_answer(progress.outcome_on_reset()),
+                    None => return AttemptResult::without_answer(progress.outcome_on_reset()),
                 },
             }
         };
-        let (mut ended, rest) = self.read_answer(response).await;
-        ended.connected_for = Some(connection.opened.elapsed());
+        let (mut result, rest) = self.read_answer(response).await;
+        result.connected_for = Some(connection.opened.elapsed());
         match rest {
-            Some(body) if ended.outcome == Outcome::Ok => {
+            Some(body) if result.outcome == Outcome::Ok => {
                 let outbound = self.clone();
-                ended.streamed = Some(Box::new(StreamedAnswer { body, endpoint, connection, outbound }));
+                result.streamed = Some(Box::new(StreamedAnswer { body, endpoint, connection, outbound }));
             }
             // The rest of an error's body is not needed.
             Some(_) => {}
             // After an answer to half a request body the other half is still unwritten, and the connection
             // unusable.
-            None if ended.outcome != Outcome::Reset && progress.is_written() => {
+            None if result.outcome != Outcome::Reset && progress.is_written() => {
                 self.return_idle(endpoint, connection)
             }
             None => {}
         }
-        ended
+        result
     }
 
     /// Keeps a connection for reuse.
@@ -244,7 +244,7 @@
     /// The outcome of an answer. A small answer is read to its end first, so that a break half-way becomes
     /// an outcome and the client never gets a truncated answer. A large one returns the rest of its body,
     /// and its outcome is that of its head.
-    async fn read_answer(&self, response: Response<Incoming>) -> (AttemptEnd, Option<StreamedBody>) {
+    async fn read_answer(&self, response: Response<Incoming>) -> (AttemptResult, Option<StreamedBody>) {
         let (head, body) = response.into_parts();
         let not_processed = head.headers.get("x-not-processed").is_some_and(|v| v.as_bytes() == b"1");
         let outcome = match head.status {
@@ -256,35 +256,36 @@
         };
         let bad_request = matches!(head.status, StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND);
         let report = self.inline_report(&head.headers);
-        let ended = |body| AttemptEnd { body, bad_request, report, ..AttemptEnd::without_answer(outcome) };
+        let result =
+            |body| AttemptResult { body, bad_request, report, ..AttemptResult::without_answer(outcome) };
         match buffer_answer(body).await {
-            Some(AnswerBody::Buffered(body)) => (ended(body), None),
-            Some(AnswerBody::Streamed(body)) => (ended(Bytes::new()), Some(body)),
+            Some(AnswerBody::Buffered(body)) => (result(body), None),
+            Some(AnswerBody::Streamed(body)) => (result(Bytes::new()), Some(body)),
             // The head of a refusal is enough, even if its body did not arrive.
             None if outcome == Outcome::NotProcessed => {
-                (AttemptEnd::without_answer(Outcome::NotProcessed), None)
+                (AttemptResult::without_answer(Outcome::NotProcessed), None)
             }
-            None => (AttemptEnd::without_answer(Outcome::Reset), None),
+            None => (AttemptResult::without_answer(Outcome::Reset), None),
         }
     }
 
     /// Asks an endpoint for its health, and for its load if load reports are configured.
-    pub async fn probe(self: &Rc<Self>, endpoint: EndpointId, address: SocketAddr) -> AttemptEnd {
+    pub async fn probe(self: &Rc<Self>, endpoint: EndpointId, address: SocketAddr) -> AttemptResult {
         let path = if self.load_fields.is_empty() { "/-/healthy" } else { "/-/load" };
         let request = Request::get(path).header(header::HOST, address.to_string());
         let Ok(request) = request.body(AttemptBody::Buffered(Full::default())) else {
-            return AttemptEnd::without_answer(Outcome::Error);
+            return AttemptResult::without_answer(Outcome::Error);
         };
         let (progress, decided_at) = (Progress::default(), Instant::now());
         let dispatch = Dispatch { endpoint, address, decided_at, write_by: None, announced_deadline: None };
         match timeout(PROBE_TIMEOUT, self.attempt(dispatch, request, &progress)).await {
-            Ok(mut ended) => {
-                let body = std::mem::take(&mut ended.body);
+            Ok(mut result) => {
+                let body = std::mem::take(&mut result.body);
                 let in_body = std::str::from_utf8(&body).ok().and_then(|text| self.parse_report(text));
-                ended.report = in_body.or(ended.report);
-                ended
+                result.report = in_body.or(result.report);
+                result
             }
-            Err(_) => AttemptEnd::without_answer(progress.outcome_on_timeout()),
+            Err(_) => AttemptResult::without_answer(progress.outcome_on_timeout()),
         }
     }
 
