--- a/src/net/budget/tests.rs
+++ b/src/net/budget/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of internals.
+//! Unit tests of private items.
 
 use super::*;
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -26,8 +26,8 @@
 const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 /// A watch that received nothing for longer than this has missed the heartbeat due every 2 s.
 const HEARTBEAT_OVERDUE: Duration = Duration::from_millis(2200);
-/// Time within which a list on an open watch has to be complete, counted from the last complete message:
-/// later changes queue up behind an unfinished list.
+/// Time-out for a list on an open watch to be complete, counted from the last complete message: later
+/// changes wait behind an incomplete list.
 const LIST_TIMEOUT: Duration = Duration::from_millis(4500);
 /// A list with a lower version than one received before is outdated, unless discovery sends nothing newer
 /// for this long: then its version numbers have started over.
@@ -75,7 +75,7 @@
     started: Instant,
     /// A list has been received since the start.
     list_received: Cell<bool>,
-    /// The latest reason for a failure since the last list, logged once.
+    /// The reason of the latest failure since the last list, to log each reason once.
     last_failure: RefCell<Option<String>>,
     /// Receives list updates.
     report: Box<dyn Fn(ListUpdate)>,
@@ -142,10 +142,10 @@
     /// Processes commands. Of several pending calls for a watch, the first that delivers a list cancels the
     /// others; each failure before that is reported in one update, and so is the end of a watch.
     pub async fn run(self: Rc<Self>, mut commands: UnboundedReceiver<DiscoveryCommand>) {
-        let mut maintenance: Option<AbortOnDrop> = None;
+        let mut watch_task: Option<AbortOnDrop> = None;
         if self.mode == Mode::Push {
             let this = self.clone();
-            maintenance = Some(AbortOnDrop::new(
+            watch_task = Some(AbortOnDrop::new(
                 spawn_local(async move { this.maintain_watch().await }).abort_handle(),
             ));
         }
@@ -167,7 +167,7 @@
                 }
             }
         }
-        drop(maintenance);
+        drop(watch_task);
     }
 
     fn move_to(&self, address: SocketAddr) {
@@ -189,14 +189,14 @@
         self.previous_address_watches.borrow_mut().append(&mut self.watches.borrow_mut());
         self.send_update(ListUpdate::of(Membership::Moved));
         self.schedule.borrow_mut().on_address_change(self.started.elapsed());
-        self.plan_call(Some(Duration::ZERO));
+        self.schedule_call(Some(Duration::ZERO));
     }
 
     async fn handle_fetch(&self) {
         match self.fetch().await {
             Ok(list) if self.is_outdated(list.rev) => {
-                let older = WatchEnd::Outdated { received: list.rev, held: self.rev.get() };
-                self.report_failure(&older.to_string(), DiscoveryFailure::Unanswered);
+                let reason = WatchEnd::Outdated { received: list.rev, held: self.rev.get() };
+                self.report_failure(&reason.to_string(), DiscoveryFailure::Unanswered);
             }
             Ok(list) => self.apply(list, true),
             Err(error) => {
@@ -220,14 +220,14 @@
             let failure = end.failure(started.elapsed());
             let silent_for = this.report_failure(&end.to_string(), failure);
             let wait = this.schedule.borrow_mut().on_failure(this.started.elapsed(), silent_for, failure);
-            this.plan_call(Some(wait));
+            this.schedule_call(Some(wait));
         });
         self.watches.borrow_mut().push(Watch { number, _task: AbortOnDrop::new(task.abort_handle()) });
     }
 
     /// In push mode keeps a watch open at all times: the policy never asks for one.
     async fn maintain_watch(self: Rc<Self>) {
-        self.plan_call(Some(Duration::ZERO));
+        self.schedule_call(Some(Duration::ZERO));
         loop {
             let due = self.next_call_at.get();
             tokio::select! {
@@ -236,15 +236,15 @@
                 () = async { sleep_until(due.unwrap_or_else(Instant::now)).await }, if due.is_some() => {
                     self.open_watch();
                     let second_call_wait = self.schedule.borrow_mut().on_call_start(self.started.elapsed());
-                    self.plan_call(second_call_wait);
+                    self.schedule_call(second_call_wait);
                 }
             }
         }
     }
 
-    /// In push mode schedules the next call after this delay, in place of any scheduled before; none
-    /// cancels it.
-    fn plan_call(&self, wait: Option<Duration>) {
+    /// In push mode schedules the next call after this delay, replacing any scheduled before; with none it
+    /// only cancels.
+    fn schedule_call(&self, wait: Option<Duration>) {
         self.next_call_at.set(wait.map(|wait| Instant::now() + wait));
         self.call_rescheduled.notify_one();
     }
@@ -271,9 +271,10 @@
                 Ok(Some(Ok(frame))) => frame,
             };
             self.health.record_activity();
-            let piece = frame.data_ref().map_or(&[][..], |data| data);
-            // A skipped change would leave the list wrong permanently, so a malformed one ends the watch.
-            let complete_lists = match lists.take(piece) {
+            let chunk = frame.data_ref().map_or(&[][..], |data| data);
+            // A skipped change would leave the list wrong permanently, so a malformed one ends the watch,
+            // and a new one is opened.
+            let complete_lists = match lists.take(chunk) {
                 Ok(complete_lists) => complete_lists,
                 Err(fault) => return WatchEnd::Broken(fault.to_string()),
             };
@@ -298,9 +299,9 @@
             if lists.is_amid() {
                 // Empty lines after an incomplete list must not keep alive a watch that delivers nothing
                 // more, and waiting for the end of a list delays the changes behind it.
-                if !piece.trim_ascii().is_empty() {
-                    let list_by = delivering_since.map(|_| self.last_message_at.get() + LIST_TIMEOUT);
-                    silent_at = list_by
+                if !chunk.trim_ascii().is_empty() {
+                    let list_due = delivering_since.map(|_| self.last_message_at.get() + LIST_TIMEOUT);
+                    silent_at = list_due
                         .map_or(now + WATCH_SILENCE_TIMEOUT, |by| by.min(now + WATCH_SILENCE_TIMEOUT));
                 }
                 continue;
@@ -368,11 +369,11 @@
             true => self.schedule.borrow_mut().on_list_update(self.started.elapsed()),
             false => self.schedule.borrow_mut().on_unconfirmed_list(self.started.elapsed()),
         }
-        self.plan_call(None);
+        self.schedule_call(None);
         self.last_failure.take();
         if !list.targets.is_empty() {
-            let sort = if list.all { "whole list" } else { "changes" };
-            info!(rev = list.rev, entries = list.targets.len(), "list: {sort}");
+            let kind = if list.all { "whole list" } else { "changes" };
+            info!(rev = list.rev, entries = list.targets.len(), "list: {kind}");
         }
         let mut update = self.translator.translate(list);
         if !confirmed {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -120,8 +120,8 @@
     let budget = Budget::new(sockets, memory_mb);
     let (inbox, inputs) = mpsc::unbounded_channel();
     let (commands, received_commands) = mpsc::unbounded_channel();
-    let listed = |named: &[Named]| named.iter().map(|n| n.name.clone()).collect::<Vec<_>>();
-    let (classes, tenants) = (listed(&names.classes), listed(&names.tenants));
+    let names_of = |named: &[Named]| named.iter().map(|n| n.name.clone()).collect::<Vec<_>>();
+    let (classes, tenants) = (names_of(&names.classes), names_of(&names.tenants));
     let (disk_events, disk) = crossbeam_channel::bounded(gullpulley::fleet::host::DISK_DEPTH);
     let has_voters = fleet.as_ref().is_some_and(|fleet| !fleet.voters.is_empty());
     let persistence = match state {
@@ -146,7 +146,7 @@
         let inbox = inbox.clone();
         // Fails only while the process ends.
         spawn_local(
-            peers.clone().report_balancers(move |living| drop(inbox.send(Input::BalancerCount(living)))),
+            peers.clone().report_balancers(move |count| drop(inbox.send(Input::BalancerCount(count)))),
         );
         let (peers, persistence) = (peers.clone(), persistence.clone());
         spawn_local(async move {
--- a/src/net/persistence.rs
+++ b/src/net/persistence.rs
@@ -38,6 +38,7 @@
     /// The durable incarnation; 0 before.
     incarnation: Cell<u64>,
     set_aside: Cell<u64>,
+    /// Writing has ended for good; nothing is persisted any more.
     stopped: Cell<bool>,
     /// Writes fail; submitted batches wait.
     failing: Cell<bool>,
