--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -123,7 +123,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => self.admit(stream),
-                Err(_) => sleep(ACCEPT_PAUSE).await, // out of descriptors; the clients' listener logs it
+                Err(_) => sleep(ACCEPT_PAUSE).await, // e.g. out of descriptors; the clients' listener logs it
             }
         }
     }
@@ -132,13 +132,13 @@
     pub async fn follow_orders(self: Rc<Self>, mut handled: HandledVersion) {
         loop {
             sleep(ORDER_CHECK_INTERVAL).await;
-            handled = self.check_orders(handled).await;
+            handled = self.apply_new_orders(handled).await;
         }
     }
 
     /// Puts the orders in the file in force if its version is not in force yet; returns the version
     /// handled.
-    pub async fn check_orders(&self, handled: HandledVersion) -> HandledVersion {
+    pub async fn apply_new_orders(&self, handled: HandledVersion) -> HandledVersion {
         let version = self.ejections.version();
         if handled == HandledVersion::InForce(version) {
             return handled;
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -44,7 +44,7 @@
     classes: Vec<Class>,
     attempts: Cell<u64>,
     pending: Cell<u64>,
-    /// Request durations by class and outcome; each class also holds its own.
+    /// Request durations by class and outcome; each class also has direct access to its own.
     durations: Family<Labels, Histogram>,
     decision_times: Histogram,
     log: LogHandle,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -246,7 +246,7 @@
         info!(sidecar = name, %control, "admin API is listening");
         let api = AdminApi::new(ejections, counters, inbound.clone(), inbox);
         // Orders given to the predecessor since this process started are in force before the first client.
-        let handled = api.check_orders(HandledVersion::InForce(None)).await;
+        let handled = api.apply_new_orders(HandledVersion::InForce(None)).await;
         spawn_local(api.clone().follow_orders(handled));
         spawn_local(api.serve(api_listener));
     }
