--- a/src/fleet/log/mod.rs
+++ b/src/fleet/log/mod.rs
@@ -100,8 +100,8 @@
     last_number: u64,
     /// Commands of this process that have no outcome yet.
     pending_commands: BTreeMap<u64, Put>,
-    /// Rotating index of the voter that a process without a vote asks next.
-    next_asked: usize,
+    /// Rotating index into the voters, for fetches and commands of a process that does not vote.
+    poll_cursor: usize,
     /// Voters known to have lost their state, by name, with the tick of their last request for replacement.
     lost_state: BTreeMap<String, u32>,
     /// Names of senders by id: a new learner has no other way to address the other voters.
@@ -141,7 +141,7 @@
             }
         };
         let log_id = founded.as_ref().map_or(0, log_id);
-        let (ticks, last_number, next_asked, own_batches, stopped) = Default::default();
+        let (ticks, last_number, poll_cursor, own_batches, stopped) = Default::default();
         Ok(Log {
             mode,
             log_id,
@@ -150,7 +150,7 @@
             tick_at: now,
             last_number,
             pending_commands: BTreeMap::new(),
-            next_asked,
+            poll_cursor,
             lost_state: BTreeMap::new(),
             sender_names: BTreeMap::new(),
             dropped_frames: [0; 3],
@@ -482,8 +482,8 @@
     fn next_voter(&mut self) -> Option<String> {
         let others: Vec<&String> =
             self.settings.voters.iter().filter(|name| **name != self.settings.name).collect();
-        self.next_asked = self.next_asked.wrapping_add(1);
-        others.get(self.next_asked % others.len().max(1)).map(|name| (*name).clone())
+        self.poll_cursor = self.poll_cursor.wrapping_add(1);
+        others.get(self.poll_cursor % others.len().max(1)).map(|name| (*name).clone())
     }
 
     fn send_commands(&mut self, out: &mut Vec<Output>) {
--- a/src/fleet/log/voter.rs
+++ b/src/fleet/log/voter.rs
@@ -93,7 +93,7 @@
             ..Config::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        // Fails only for inconsistent settings, and these are constant.
+        // Fails only for settings that contradict each other, and these do not.
         let raw = RawNode::new(&config, storage, &logger).map_err(|_| LoadError::Snapshot(index))?;
         let (pending, batch, replacements, snapshots_sent) = Default::default();
         let (seed, ticks) = (seed ^ id, 0);
