--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,6 +1,6 @@
-//! A request's life: taken, sent, answered or given up, forgotten. It may know the request, its own
-//! attempts and what the other files answer when asked: which endpoint, whether again, whether there is
-//! room.
+//! The life of a request: received, sent, answered or given up, removed. Depends on the request, its
+//! attempts, and the decisions of the other modules: which endpoint, whether to retry, whether there is
+//! capacity.
 
 use super::choice::Eligibility;
 use super::endpoint_list::Endpoint;
@@ -12,7 +12,7 @@
 use crate::stats::LATENCY_MIN_SAMPLES;
 use std::time::Duration;
 
-/// What an attempt is known to have done.
+/// What is known about the effect of an attempt.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum AttemptState {
     InFlight,
@@ -26,31 +26,31 @@
     pub(super) cell: CellId,
     pub(super) zone: ZoneId,
     pub(super) sent: Duration,
-    /// How long the connection it went out on had lain idle; none for a new one.
+    /// How long the connection that it was sent on had been idle; zero for a new one.
     pub(super) idle: Duration,
     pub(super) state: AttemptState,
-    /// The endpoint has all of it and works on it: only then is it a call in flight.
+    /// The endpoint has received the whole request and works on it: only then is it a call in flight.
     pub(super) counts_in_flight: bool,
 }
 
-/// A request until it is finished and all its attempts have ended.
+/// A request that is not finished, or that has attempts that have not ended.
 pub(super) struct Pending {
     pub(super) class: usize,
     pub(super) arrived: Duration,
     pub(super) deadline: Duration,
-    /// Part of its class's worth: little above its tenant's share, and for a repeat.
+    /// Fraction of its class's worth: reduced above its tenant's share, and for a retry by the client.
     pub(super) worth: f64,
     pub(super) attempts: Vec<Attempt>,
     pub(super) finished: bool,
     pub(super) streaming: bool,
-    /// Its body is still coming.
+    /// Its body is still being received.
     pub(super) uploading: bool,
-    /// Its body can't be sent again.
+    /// Its body can't be sent again, so it can't be retried.
     pub(super) no_retry: bool,
 }
 
 impl Pending {
-    /// Whether nothing is to be decided for it any more.
+    /// Whether no further decision is needed for it.
     pub(super) fn settled(&self) -> bool {
         self.finished || self.streaming
     }
@@ -59,7 +59,7 @@
         self.attempts.iter().all(|a| a.state != AttemptState::InFlight)
     }
 
-    /// The attempts that are not known never to have run.
+    /// The attempts that the endpoint may have processed.
     pub(super) fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|a| a.state != AttemptState::NotProcessed)
     }
@@ -96,7 +96,7 @@
         self.probe_endpoints(now, out);
     }
 
-    /// A slow body has come whole: only now does the endpoint begin, and the request's time run.
+    /// A streamed body is complete: only now does the endpoint start to work, and the deadline to run.
     pub(super) fn on_body(&mut self, now: Duration, id: RequestId, left: Duration, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(&id).filter(|p| p.uploading) else { return };
         (pending.uploading, pending.arrived, pending.deadline) = (false, now, now + left);
@@ -104,7 +104,7 @@
             pending.attempts.iter_mut().filter(|a| a.state == AttemptState::InFlight && !a.counts_in_flight)
         {
             attempt.sent = now;
-            // One that has left meanwhile holds no calls, and gives none back.
+            // An endpoint that was removed in the meantime has no calls to count.
             let Some(&i) = self.index.get(&attempt.endpoint) else { continue };
             attempt.counts_in_flight = true;
             self.endpoints[i].in_flight += 1;
@@ -113,14 +113,15 @@
         self.set_timer(left, Timer::Deadline(id), out);
     }
 
-    /// Sends a request that has no attempt out, or holds it, or gives it up.
+    /// Sends a request that has no attempt in flight, or queues it, or gives it up.
     pub(super) fn dispatch(&mut self, now: Duration, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         if pending.settled() {
             return;
         }
         let exhausted = pending.attempts.len() as u32 >= self.settings.limits.max_attempts;
-        // A held repeat may have outlived the time in which its key is remembered: ask again here.
+        // The window in which its key is remembered may have passed while a retry was queued: check
+        // again.
         let exhausted = exhausted || pending.deadline <= now || self.too_late(now, pending);
         if exhausted || !self.may_repeat(now, id) {
             return self.give_up(id, out);
@@ -132,8 +133,8 @@
         self.send(now, id, i, out);
     }
 
-    /// Whether the answer to a request that has waited untried would come after the objective or the
-    /// deadline, were it sent now.
+    /// Whether a queued request without any attempt would be answered after its objective or deadline if
+    /// it were sent now.
     pub(super) fn too_late(&self, now: Duration, pending: &Pending) -> bool {
         let usual = Duration::from_secs_f64(self.latency[pending.class].mean);
         let objective = pending.arrived + self.settings.classes[pending.class].objective;
@@ -149,13 +150,14 @@
         let Some(pending) = self.requests.get_mut(&id) else { return };
         let mut idle = endpoint.idle_since.map_or(Duration::ZERO, |at| now.saturating_sub(at));
         if lossy && idle >= self.idle_drop_after {
-            // Something on the way drops idle connections unseen; a handshake costs less than a lost call.
+            // Something on the path drops idle connections silently; a handshake costs less than a lost
+            // call.
             out.push(Action::CloseIdle { endpoint: endpoint.info.id });
             endpoint.idle_since = None;
             idle = Duration::ZERO;
         }
-        // To a keyed request that may have run, the window closes also on an attempt that still connects,
-        // and the end of the lease on the list does to any.
+        // For a keyed request that may have run, the window also ends for an attempt that is still
+        // connecting; so does the lease on the list for any attempt.
         let window = match self.settings.classes[pending.class].semantics {
             Semantics::Keyed { window, .. } => {
                 pending.may_have_run().next().map(|first| (first.sent + window).saturating_sub(now))
@@ -194,7 +196,7 @@
         let Some(pending) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = pending.attempts.get_mut(ended.attempt.0 as usize) else { return };
         if attempt.state != AttemptState::InFlight {
-            return; // an outcome told twice
+            return; // duplicate report of an outcome
         }
         attempt.state = if ended.outcome.never_ran() {
             AttemptState::NotProcessed
@@ -204,8 +206,8 @@
         let Attempt { endpoint, zone, idle, sent, counts_in_flight, .. } = *attempt;
         let (class, no_retry, side) = (pending.class, pending.no_retry, self.settings.side(zone));
         if let Some(&i) = self.index.get(&endpoint) {
-            // A call sent before one that was refused says nothing against that, also if it is answered
-            // after it.
+            // The times are those of sending: a call that was sent before a refused one doesn't outdate
+            // that refusal, even if its answer comes later.
             let Endpoint { accepted, refused, continuity, .. } = &mut self.endpoints[i];
             match ended.outcome {
                 Outcome::Ok => *accepted = (*accepted).max(Some(sent)),
@@ -257,14 +259,14 @@
         self.dispatch_queued(now, out);
     }
 
-    /// The last word on a request that can't be served: a refusal where that is true, else a failure.
+    /// Ends a request that can't be served: refuses it if a retry by the client is safe, else fails it.
     pub(super) fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id).filter(|p| !p.settled()) else { return };
         let never_ran = pending.may_have_run().next().is_none();
         let class = &self.settings.classes[pending.class];
         let harmless = never_ran
             || matches!(class.semantics, Semantics::Safe | Semantics::Keyed { group: Group::All, .. });
-        // By then what is out now, ahead of it, has been answered or given up.
+        // By then the requests that are in flight now have been answered or given up.
         let limits = &self.settings.limits;
         let retry_after = limits.retry_after.then(|| class.objective.min(limits.max_retry_after));
         let refusal = Action::Refuse { request: id, retry_after };
@@ -272,7 +274,7 @@
         self.finish(id, out);
     }
 
-    /// Marks a request finished, stops what is still out for it, and forgets it if nothing is.
+    /// Marks a request as finished, cancels its attempts in flight, and removes it if there are none.
     pub(super) fn finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
         if !pending.finished {
