--- a/src/policy/limits.rs
+++ b/src/policy/limits.rs
@@ -1,6 +1,6 @@
-//! How much may be out, and what is served first where that is not enough: an endpoint's limit, the
-//! windows of all own calls, what is held. It may know own answers and their times, worths and shares;
-//! nothing of other balancers but how many there are.
+//! Concurrency limits, queueing and load shedding: the limit of each endpoint, the windows over all own
+//! calls, and the order in which queued requests are sent. Depends on own answers and their latencies, on
+//! worths and on tenants' shares; of other balancers only on their number.
 
 use super::choice::{LATENCY_DECAY_S, LATENCY_WEIGHT};
 use super::retries::{UNANSWERED_DECAY_S, UNANSWERED_REFUTED};
@@ -10,34 +10,43 @@
 use crate::stats::UNLOADED_SAMPLES;
 use std::time::Duration;
 
-/// Own calls in flight at an endpoint that is not known yet: the paper's C before any measurement.
+/// Own calls in flight allowed at an endpoint before any answer: the initial concurrency limit C.
 pub(super) const INITIAL_LIMIT: f64 = 3.0;
-/// One late answer takes this share of the limit; each round of timely ones adds one call.
+/// Fraction by which a late answer reduces an endpoint's limit; each round of timely answers adds one
+/// call.
 const LIMIT_DECREASE: f64 = 0.07;
-/// Part of the objective that an answer may take before the endpoint counts as overfull.
+/// Fraction of the objective beyond which an answer is late and its endpoint counts as overloaded.
 const LATE_OBJECTIVE_FRACTION: f64 = 0.8;
-/// Calls of all balancers at each endpoint before any measurement; own windows start at their part of that,
-/// or a hundred balancers would open with a jam. Until the first late answer each timely one adds a part.
+/// Calls of all balancers at each endpoint before any answer. Own windows start at this balancer's share
+/// of that; otherwise a hundred balancers would overload the endpoints at their start. Until the first
+/// late answer each timely one adds one share.
 pub(super) const INITIAL_WINDOW: f64 = 4.0;
-/// A timely answer adds this many parts over the window, a late one takes the cut. So where each endpoint
-/// holds 1.5 calls of all balancers, one answer in two may be late; where twice as many, one in three.
+/// A timely answer adds this many shares divided by the window size; a late one subtracts
+/// `WINDOW_DECREASE`. So one answer in two may be late while each endpoint holds 1.5 calls of all
+/// balancers; with twice as many calls, one in three.
 const WINDOW_INCREASE: f64 = 0.75;
-/// Less than a call: where a balancer has one or two out, single slow answers are mostly chance.
+/// In calls. Less than one: when a balancer has one or two calls in flight, single slow answers are
+/// mostly chance.
 const WINDOW_DECREASE: f64 = 0.5;
-/// Calls of all balancers at each endpoint beyond which floors of one call are too many.
+/// Windows at their floor of one call are too large if those of all balancers add up to more calls than
+/// this at each endpoint.
 const MAX_FLOOR_CALLS: f64 = 8.0;
-/// An answer is also late beyond this multiple of its class's unhurried mean: work times spread.
+/// An answer is also late beyond this multiple of its class's unloaded mean: above one, as service times
+/// vary.
 const LATE_LATENCY_MULTIPLE: f64 = 2.5;
-/// Seconds in which the value of a refused request fades to a third.
+/// Time constant, in seconds, in which the value of a refused request falls to a third.
 const REFUSED_VALUE_DECAY_S: f64 = 2.0;
-/// A client's repeat has spent some of its objective: it counts as a late answer does, or at least so much.
+/// A client's retry has used up part of its objective, so it is worth as much as a late answer, but at
+/// least this fraction.
 pub(super) const CLIENT_RETRY_MIN_FACTOR: f64 = 0.1;
-/// Held requests are looked at again this often, besides whenever a call ends.
+/// Interval at which queued requests are examined again, besides whenever a call ends.
 const QUEUE_RECHECK: Duration = Duration::from_millis(20);
-/// A tenant is over its share beyond this multiple of what the median tenant uses of its own.
+/// A tenant exceeds its share when it uses more than this multiple of the fraction that the median tenant
+/// uses.
 const TENANT_SHARE_SLACK: f64 = 1.5;
 
-/// Own attempts out, and how many may be: keeps many balancers from adding up to a jam.
+/// Own attempts in flight, and how many may be: keeps many balancers from overloading the endpoints
+/// together.
 #[derive(Clone, Copy)]
 pub(super) struct Window {
     pub(super) size: f64,
@@ -46,8 +55,8 @@
 }
 
 impl Balancer {
-    /// Lets an outcome speak for or against its endpoint. The side is the one that its window counted it
-    /// on: by now the endpoint may be listed in another zone.
+    /// Updates limits, windows, latencies and penalties by the outcome of an attempt. `side` is the
+    /// window that counted the attempt: by now the endpoint may be listed in another zone.
     pub(super) fn record_outcome(
         &mut self,
         now: Duration,
@@ -68,9 +77,10 @@
             outcome => outcome == Outcome::NotProcessed,
         };
         let share = self.endpoint_share();
-        // One call an endpoint, parted among all balancers. It is the least a window falls to, and the
-        // larger a window the less it gains: else what starts first measures idle servers, yields to
-        // what starts last and measured crowded ones, and is starved for good.
+        // One call for each endpoint, divided among all balancers. A window never falls below this, and
+        // grows more slowly the larger it is. Otherwise balancers that started first, and measured idle
+        // servers, would yield to those that started last, and measured busy ones, and be starved for
+        // good.
         let window = &mut self.windows[side];
         if late {
             window.size = (window.size - WINDOW_DECREASE).max(share.max(1.0));
@@ -112,7 +122,7 @@
         }
     }
 
-    /// Seconds after which an answer says that servers hold too much.
+    /// Latency in seconds beyond which an answer shows that servers are overloaded.
     fn late_threshold(&self, class: usize) -> f64 {
         let by_objective = self.settings.classes[class].objective.as_secs_f64() * LATE_OBJECTIVE_FRACTION;
         if self.latency[class].seen < UNLOADED_SAMPLES {
@@ -121,38 +131,40 @@
         by_objective.min(self.latency[class].unloaded * LATE_LATENCY_MULTIPLE)
     }
 
-    /// Own calls in flight leave room for one more of such value: while worthier ones are refused, a part
-    /// is theirs alone. A caller inside a tier holds a slot while it waits: what got so far is not held up.
+    /// Whether the window has room for one more call of this value: while more valuable requests are
+    /// refused, a part of it is reserved for them. Callers inside a tier are never limited: they hold a
+    /// slot in their own tier while they wait.
     pub(super) fn has_room(&self, now: Duration, value: f64, side: usize) -> bool {
         let fraction =
             (value / self.refused_value.read(now, REFUSED_VALUE_DECAY_S).max(1e-9)).sqrt().min(1.0);
         let (window, in_flight) =
             (self.windows[side], self.windows[0].in_flight + self.windows[1].in_flight);
-        // At its floor of one call: two such windows of each of many balancers would still be a jam.
+        // A window at its floor of one call: with many balancers, two such windows each are still too
+        // much.
         let above_floor =
             window.size > 1.0 || in_flight == 0 || MAX_FLOOR_CALLS * self.endpoint_share() >= 1.0;
         let fits = f64::from(window.in_flight) < window.size * fraction;
         self.settings.tier > 0 || (fits && above_floor)
     }
 
-    /// Some zone with endpoints has room for the worthiest.
+    /// Whether any zone with endpoints has room for the most valuable request.
     fn any_room(&self, now: Duration) -> bool {
         (0..2).any(|side| !self.pools[2 + side].is_empty() && self.has_room(now, f64::MAX, side))
     }
 
-    /// This balancer's part of one call at each endpoint.
+    /// This balancer's share of one call at each endpoint.
     pub(super) fn endpoint_share(&self) -> f64 {
         self.ready_count() / f64::from(self.settings.balancers.max(1))
     }
 
-    /// Sends what is held, as far as there is room. Looks at no endpoint where there is none: with
-    /// hundreds held that took more time than the answers themselves.
+    /// Sends queued requests as far as there is room. Examines no endpoint if there is none: with
+    /// hundreds of queued requests that took more time than the answers themselves.
     pub(super) fn dispatch_queued(&mut self, now: Duration, out: &mut Vec<Action>) {
         if self.queued.is_empty() || !self.any_room(now) {
             return;
         }
-        // The worthiest first, and of equals the one that came last: in a jam the oldest would only
-        // be answered after its objective, and so would all behind it.
+        // The most valuable first, and of equals the newest: in overload the oldest would be answered
+        // after its objective, and so would all behind it.
         let rank = |&id: &RequestId| (self.value(id), self.requests.get(&id).map(|p| p.arrived), id);
         let mut waiting: Vec<_> = self.queued.iter().map(rank).collect();
         waiting.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)).then(b.2.0.cmp(&a.2.0)));
@@ -160,14 +172,14 @@
             let untried = self.requests.get(&id).is_some_and(|p| p.attempts.is_empty());
             self.queued.retain(|&held| held != id);
             self.dispatch(now, id, out);
-            // What found no endpoint, though all are open to it, leaves none to the others either.
+            // If a request found no endpoint, though all are open to it, neither will the others.
             if !self.any_room(now) || (untried && self.queued.last() == Some(&id)) {
                 return;
             }
         }
     }
 
-    /// Refuses what is held and can't be served in time any more.
+    /// Refuses queued requests that can no longer be served in time.
     pub(super) fn refuse_late(&mut self, now: Duration, out: &mut Vec<Action>) {
         let late = |id: &RequestId| self.requests.get(id).is_some_and(|p| self.too_late(now, p));
         let late: Vec<RequestId> = self.queued.iter().copied().filter(late).collect();
@@ -181,15 +193,16 @@
         }
     }
 
-    /// What serving a request adds to the result for the time it keeps a server busy.
+    /// The value of serving a request: its worth for each second of unloaded service time.
     pub(super) fn value(&self, id: RequestId) -> f64 {
         let Some(pending) = self.requests.get(&id) else { return 0.0 };
         self.settings.classes[pending.class].worth * pending.worth
             / self.latency[pending.class].unloaded.max(0.001)
     }
 
-    /// Counts a tenant's request and tells whether it lies above the tenant's share. A balancer sees
-    /// an unknown part of all traffic, so tenants are judged against the median one.
+    /// Counts a tenant's request and decides, at random in proportion to the excess, whether it lies
+    /// above the tenant's share. A balancer sees an unknown part of all traffic, so tenants are compared
+    /// with the median one.
     pub(super) fn exceeds_share(&mut self, now: Duration, tenant: usize) -> bool {
         let Some(rate) = self.tenants.get_mut(tenant) else { return false };
         rate.count(now, RATE_DECAY_S);
