--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -1,6 +1,6 @@
-//! The endpoint list: what is listed, what the operators have taken out, and which part of it this
-//! balancer uses. It may know the list, the settings and its own place among the balancers; it asks
-//! nobody.
+//! The endpoint list: the listed endpoints, the suspended ones, and the subset that this balancer uses.
+//! Depends only on the list, the settings and this balancer's number among the balancers; subsetting
+//! needs no coordination.
 
 use super::continuity::Continuity;
 use super::limits::{INITIAL_LIMIT, INITIAL_WINDOW};
@@ -10,40 +10,41 @@
 use crate::stats::DecayingValue;
 use std::time::Duration;
 
-/// Balancers that share each endpoint. One that uses many learns too little of each (i44da9d); its idle
-/// connections fill their tables, which takes capacity; so many that balancers of unlike load even out.
+/// Balancers that share each endpoint. A balancer that uses many endpoints learns too little of each
+/// (i44da9d), and its idle connections fill their tables, which costs capacity. This many are enough for
+/// balancers of unequal load to even out.
 const BALANCERS_PER_ENDPOINT: f64 = 4.0;
-/// Endpoints of a zone that a caller uses at least, so that d samples still find a choice among failing
-/// ones.
+/// Minimum size of the subset in a zone, so that d samples still find a choice while some endpoints fail.
 const MIN_SUBSET: f64 = 4.0;
-/// Step from one balancer's place on the ring to the next one's: the golden ratio spaces any run evenly.
+/// Step between the ring positions of consecutive balancers: the golden ratio spaces any number evenly.
 const RING_STEP: f64 = 0.618_033_988_75;
 pub(super) struct Endpoint {
     pub(super) info: EndpointInfo,
-    /// The operators have taken it out.
+    /// Suspended by the operators.
     pub(super) suspended: bool,
     pub(super) in_flight: u32,
-    /// Recent failures as calls in flight.
+    /// Failure penalty: recent failures, counted as calls in flight.
     pub(super) failure_penalty: DecayingValue,
-    /// Its latency as a multiple of the class's unhurried mean, beyond one: what calls of
-    /// others, unseen here, do to it. Own counts say little where a caller has one call out or none.
+    /// Latency penalty: its latency as a multiple of the class's unloaded mean, less one. It shows the
+    /// load that other balancers put on it; own counts say little when a balancer has at most one call in
+    /// flight.
     pub(super) latency_penalty: DecayingValue,
-    /// Own calls it may hold: the paper's C, learned from late and timely answers.
+    /// Own calls allowed in flight: the concurrency limit C, adapted by late and timely answers.
     pub(super) limit: f64,
     pub(super) limit_reduced_at: Duration,
-    /// When the last call that it served was sent, and the last that it refused.
+    /// When the last call that it served was sent, and the last call that it refused.
     pub(super) accepted: Option<Duration>,
     pub(super) refused: Option<Duration>,
-    /// When it was last probed, whether that is out, and when it was asked the health check that passed, if
-    /// the last one did.
+    /// When it was last probed, whether that probe is in flight, and when the last health check was sent
+    /// if that one passed.
     pub(super) probed_at: Option<Duration>,
     pub(super) probe_in_flight: bool,
     pub(super) healthy_at: Option<Duration>,
-    /// Since when it has gone on without a break.
+    /// Since when it has run without interruption.
     pub(super) continuity: Continuity,
-    /// When it last answered, and left a connection idle.
+    /// When it last answered, which left a connection idle.
     pub(super) idle_since: Option<Duration>,
-    /// Sends the cold budget still allows, as of `cold_at`.
+    /// Requests that the slow-start budget still allows, as of `slow_start_at`.
     pub(super) slow_start_tokens: f64,
     pub(super) slow_start_at: Duration,
 }
@@ -103,7 +104,7 @@
         self.dispatch_queued(now, out);
     }
 
-    /// Whether a list says anything that is not held yet.
+    /// Whether an update contains anything that is not in the current list.
     fn has_changes(&self, update: &Membership) -> bool {
         let held = |info: &EndpointInfo| {
             self.index.get(&info.id).is_some_and(|&i| self.endpoints[i].info == *info)
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Says where the end of the lease on the list has changed, and wakes up at it.
+    /// If the end of the lease on the list has changed, logs it and sets the timer to it.
     fn update_lease_timer(&mut self, now: Duration, before: Option<LeaseEnd>, out: &mut Vec<Action>) {
         let after = self.schedule.lease().end();
         if after == before {
@@ -139,20 +140,21 @@
         self.lease_timer = Some(self.last_timer);
     }
 
-    /// Says that the lease on the list has run out, if it has.
+    /// Logs that the lease on the list has expired, if it has.
     pub(super) fn on_lease_end(&mut self, now: Duration, out: &mut Vec<Action>) {
         self.lease_timer = None;
         let lease = self.schedule.lease();
         if let Some(end) = lease.end().filter(|_| !lease.is_valid(now)) {
             let then = match self.settings.limits.probes {
-                true => "sending only to endpoints known to go on",
-                false => "requests are held",
+                true => "sending only to endpoints known to be running",
+                false => "requests are queued",
             };
             out.push(Action::Log(format!("list lease: run out, {then}: {}", end.reason)));
         }
     }
 
-    /// Takes an endpoint out. What is out there already may end; the ban outlives the endpoint's listing.
+    /// Suspends an endpoint. Attempts in flight there may end; the manual ejection stays in force even if
+    /// the endpoint leaves the list.
     pub(super) fn on_suspend(&mut self, now: Duration, id: EndpointId, out: &mut Vec<Action>) {
         self.resumed.remove(&id);
         if self.suspended.insert(id) {
@@ -164,7 +166,8 @@
         }
     }
 
-    /// Uses an endpoint again. It was restarted meanwhile, so its return is cold whatever the list says.
+    /// Resumes an endpoint. It was restarted in the meantime, so it is in slow start whatever the list
+    /// says.
     pub(super) fn on_resume(&mut self, now: Duration, id: EndpointId, at: Duration, out: &mut Vec<Action>) {
         self.suspended.remove(&id);
         self.resumed.insert(id, at);
@@ -177,9 +180,9 @@
         }
     }
 
-    /// So many balancers share the work, each of so many processes. What was seen of all requests says too
-    /// much of a smaller part of them: cold endpoints would get their whole budget from each. With a larger
-    /// part, this one sees for itself what has become its own.
+    /// Sets the number of balancers that share the work, and of processes in each. If this process's
+    /// share shrinks, rates measured at the larger share are too high: endpoints in slow start would get
+    /// their whole budget from each process. If it grows, the rates are measured anew.
     pub(super) fn on_balancer_count(&mut self, now: Duration, balancers: u32, processes: u32) {
         let (balancers, processes) = (balancers.max(1), f64::from(processes.max(1)));
         let before = f64::from(self.settings.balancers.max(1)) * self.processes;
@@ -192,7 +195,7 @@
         self.choose_subset(now);
     }
 
-    /// Takes the entries of a list; what a whole one does not name is gone.
+    /// Applies the entries of a list; endpoints that a whole list does not name are removed.
     fn apply_entries(&mut self, now: Duration, whole: bool, entries: Vec<EndpointInfo>) {
         if whole {
             for endpoint in &mut self.endpoints {
@@ -206,7 +209,7 @@
         let warm_within = self.settings.rules.warm_within;
         self.resumed.retain(|_, at| now.saturating_sub(*at) < warm_within);
         for mut info in entries {
-            // Called back by hand, it has been restarted, though the list may say so late or never.
+            // A resumed endpoint has been restarted, though the list may say so late or never.
             info.started = info.started.max(self.resumed.get(&info.id).copied());
             match self.index.get(&info.id) {
                 Some(&i) => {
@@ -243,14 +246,15 @@
                 }
             }
         }
-        // Endpoints that left are forgotten once their last call has ended.
+        // Endpoints that left the list are removed once their last call has ended.
         self.endpoints.retain(|e| e.info.state != EndpointState::Gone || e.in_flight > 0);
         self.index = self.endpoints.iter().enumerate().map(|(i, e)| (e.info.id, i)).collect();
         self.choose_subset(now);
     }
 
-    /// All balancers see the endpoints of a zone on the same ring; each begins at a place of its own, by
-    /// the golden ratio: so parts cover it evenly, also for those of one zone, however they are numbered.
+    /// Chooses this balancer's subset of the endpoints. All balancers order the endpoints of a zone on
+    /// the same ring, and each starts at its own position, by the golden ratio: so the subsets cover the
+    /// ring evenly, also those of the balancers in one zone, however they are numbered.
     fn choose_subset(&mut self, now: Duration) {
         let ready = self.endpoints.iter().enumerate().filter(|(_, e)| e.is_ready());
         let mut ring: Vec<_> = ready.map(|(i, e)| (e.info.zone, e.info.id, i)).collect();
@@ -260,7 +264,8 @@
         for zone in ring.chunk_by(|a, b| a.0 == b.0) {
             let size = zone.len() as f64;
             let start = (size * (f64::from(self.settings.me) * RING_STEP).fract()) as usize;
-            // Cold endpoints come on top: through a release a part of them alone would be crowded.
+            // Endpoints in slow start are added on top: during a release a subset of them alone would be
+            // overloaded.
             let mut remaining = (size * BALANCERS_PER_ENDPOINT / callers).max(MIN_SUBSET);
             for place in start..start + zone.len() {
                 let i = zone[place % zone.len()].2;
@@ -286,14 +291,14 @@
         (self.pools[2].len() + self.pools[3].len()) as f64
     }
 
-    /// 0 for an endpoint of the own zone, 1 for one of another.
+    /// The index of an endpoint's window: 0 for the own zone, 1 for other zones.
     pub(super) fn side(&self, i: usize) -> usize {
         self.settings.side(self.endpoints[i].info.zone)
     }
 }
 
 impl Settings {
-    /// 0 for the own zone, 1 for another.
+    /// The index of a zone's window: 0 for the own zone, 1 for other zones.
     pub(super) fn side(&self, zone: ZoneId) -> usize {
         usize::from(zone != self.zone)
     }
