--- a/src/policy/continuity.rs
+++ b/src/policy/continuity.rs
@@ -1,36 +1,38 @@
-//! Since when an endpoint is known to have gone on without a break. An answer shows that the process that
-//! gave it has lived since the answer's connection was opened, as the connections of a process that dies
-//! are reset. A machine that is cut off leaves its connections open and silent, and so answers must not
-//! lie far apart either. It knows answers, and nothing of the list.
+//! Since when an endpoint is known to have run without interruption. An answer shows that the process
+//! that sent it has been running since the answer's connection was opened, as the connections of a
+//! process that dies are reset. A machine that is cut off from the network leaves its connections open
+//! and silent, so answers must not be far apart either. Depends on answers alone, not on the endpoint
+//! list.
 
 use std::time::Duration;
 
-/// An endpoint that is cut off, or dies and comes back, is away for longer: no page says so, it was seen
-/// in service.
+/// An endpoint that is cut off, or dies and comes back, is away for longer than this: observed in
+/// service, not documented.
 const MIN_ABSENCE: Duration = Duration::from_secs(2);
-/// Answers further apart leave room for an endpoint to have been cut off in between.
+/// If two answers are further apart, the endpoint may have been cut off in between.
 pub(super) const MAX_ANSWER_GAP: Duration = MIN_ABSENCE;
-/// Spans kept: two connections that were opened one after the other may prove later to lead to one process.
+/// Spans kept: later answers may show that two connections, opened one after the other, lead to the same
+/// process.
 const MAX_SPANS: usize = 2;
 
-/// One process lived throughout, and answered again and again.
+/// A period during which one process ran throughout and answered repeatedly.
 #[derive(Clone, Copy)]
 struct Span {
     since: Duration,
     until: Duration,
 }
 
-/// What an endpoint's answers show of its life. Time is handed in.
+/// What an endpoint's answers prove of its uninterrupted operation. The caller passes in the time.
 #[derive(Clone, Default)]
 pub struct Continuity {
-    /// The one that ends last is the last.
+    /// Ordered by their end, the latest last.
     spans: Vec<Span>,
-    /// What was seen before then speaks for it no more.
+    /// Answers from before this time no longer count.
     broken_at: Duration,
 }
 
 impl Continuity {
-    /// It has answered on a connection that had been open for so long.
+    /// Records an answer on a connection that had been open for `connected_for`.
     pub fn answered(&mut self, now: Duration, connected_for: Duration) {
         let opened = now.saturating_sub(connected_for).max(self.broken_at);
         let extended = |span: &Span| opened <= span.until && now <= span.until + MAX_ANSWER_GAP;
@@ -43,14 +45,14 @@
         }
     }
 
-    /// It has refused to be asked, or failed its health check.
+    /// Records that it has refused a connection or failed its health check.
     pub fn broken(&mut self, now: Duration) {
         self.spans.clear();
         self.broken_at = now;
     }
 
-    /// Whether one process is known to have gone on without a break over this time, or to have answered
-    /// so soon after its beginning that it can't have been away before.
+    /// Whether one process is known to have run without interruption from `since` to `until`. A process
+    /// that first answered soon after `since` counts, as it can't have been away and back in that time.
     pub fn covers(&self, since: Duration, until: Duration) -> bool {
         let unbroken = |span: &Span| span.since <= since + MIN_ABSENCE && until <= span.until;
         self.broken_at <= since && self.spans.iter().any(unbroken)
