--- a/src/policy/health_checks.rs
+++ b/src/policy/health_checks.rs
@@ -1,5 +1,5 @@
-//! Probes: whether endpoints take requests by their own word, where the list does not say it any more. It
-//! may know the list, the lease on it, and when each endpoint was probed and what it said.
+//! Health checks: probes that ask endpoints whether they take requests when the endpoint list no longer
+//! tells. Depends on the list, the lease on it, and the time and result of each endpoint's probes.
 
 use super::Balancer;
 use super::choice::Eligibility;
@@ -8,36 +8,37 @@
 use crate::api::*;
 use std::time::Duration;
 
-/// A health check that passed speaks for its endpoint so long from when it was asked: an endpoint that
-/// began to drain since then does not count as known to drain yet.
+/// How long a passed health check is valid, from when it was sent: an endpoint that has begun to drain
+/// since then does not yet count as known to drain.
 const HEALTH_VALID_FOR: Duration = Duration::from_secs(1);
-/// One that requests go to is asked again after this, so that it stays in use.
+/// A passed health check is repeated after this, before it expires, so that its endpoint stays in use.
 const HEALTH_RENEWED_AFTER: Duration = Duration::from_millis(600);
-/// A probe is not repeated sooner, whatever became of it: endpoints take few of them.
+/// An endpoint is not probed again sooner, whatever the result: endpoints accept few probes.
 const PROBE_PAUSE: Duration = Duration::from_millis(500);
-/// Between two batches of them, where those that fail are replaced: when all endpoints fail, this bounds
-/// the probes.
+/// Pause between two batches of probes, in which endpoints that failed are replaced: limits the number of
+/// probes when all endpoints fail.
 const BATCH_PAUSE: Duration = Duration::from_millis(200);
-/// Endpoints whose health is kept known while the lease on the list is out: enough for d samples, and few,
-/// as all processes ask at once.
+/// Endpoints that are health-checked regularly while the lease on the list has expired: enough for d
+/// samples, and few, as all processes probe at the same time.
 const MAX_CHECKED: usize = 3;
-/// Draws for each of them that is missing, of which some meet one that was just asked.
+/// Random draws for each missing one of them: some draws hit an endpoint that was just probed.
 const DRAWS_PER_MISSING: usize = 8;
-/// Pools to draw them from: most of this balancer's own part of its zone, but where all of that fails also
-/// others.
+/// Pools to draw them from, with equal probability for each entry: mostly this balancer's subset of its
+/// own zone, but also the others in case all of that subset fails.
 const POOL_WEIGHTS: [usize; 8] = [0, 0, 0, 0, 0, 2, 1, 3];
-/// Endpoints are asked from so long before the end of the lease on the list.
+/// Health checks start this long before the end of the lease on the list.
 const PROBE_BEFORE_END: Duration = Duration::from_secs(3);
-/// While the list is doubted one endpoint that is left out is probed so often.
+/// While the list may be stale, one excluded endpoint is probed at this interval.
 const EXCLUDED_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Balancer {
-    /// Asks endpoints how they are, where the list does not say it any more.
+    /// Probes endpoints if the endpoint list is no longer sufficient.
     pub(super) fn probe_endpoints(&mut self, now: Duration, out: &mut Vec<Action>) {
         if !self.settings.limits.probes {
             return;
         }
-        // From before the end of the lease on: only what is seen without a break is sent to after it.
+        // Starts before the end of the lease: after it, only endpoints observed without interruption are
+        // sent to.
         let lease = self.schedule.lease();
         if let Some((end, complete)) = lease.end().zip(lease.complete_until())
             && now + PROBE_BEFORE_END >= end.at
@@ -50,7 +51,7 @@
         }
     }
 
-    /// What an endpoint answered to a probe.
+    /// Records the result of a probe.
     pub(super) fn on_probe_ended(
         &mut self,
         now: Duration,
@@ -72,8 +73,8 @@
         }
     }
 
-    /// Keeps the health known of a few endpoints that have gone on without a break since then, and of
-    /// others in place of those that fail.
+    /// Health-checks a few endpoints that have run without interruption since `since`, and replaces those
+    /// that fail.
     fn probe_for_health(&mut self, now: Duration, since: Duration, out: &mut Vec<Action>) {
         if now < self.next_probe_at {
             return;
@@ -110,8 +111,8 @@
         self.health_checked = checked;
     }
 
-    /// Asks one of those left out whether it takes calls: what refused for another reason has to come back,
-    /// however long discovery is away.
+    /// Probes one excluded endpoint: an endpoint that refused a call for a reason other than draining
+    /// must be used again, however long discovery is unavailable.
     fn probe_excluded(&mut self, now: Duration, out: &mut Vec<Action>) {
         if now < self.next_excluded_probe_at {
             return;
@@ -129,23 +130,23 @@
 }
 
 impl Endpoint {
-    /// Until when its health check speaks for it; none where it did not pass.
+    /// Until when its last health check is valid; none if that did not pass.
     pub(super) fn healthy_until(&self) -> Option<Duration> {
         self.healthy_at.map(|asked| asked + HEALTH_VALID_FOR)
     }
 
-    /// Whether its health check has passed of late.
+    /// Whether it has a valid, passed health check.
     pub(super) fn is_healthy(&self, now: Duration) -> bool {
         self.healthy_until().is_some_and(|until| now < until)
     }
 
-    /// Whether its health is known as good, or being asked.
+    /// Whether it is ready and its health check has passed or is in flight.
     fn is_checked(&self, now: Duration) -> bool {
         let asked = self.probe_in_flight && self.probed_at.is_some_and(|at| now < at + PROBE_PAUSE);
         self.is_ready() && (asked || self.is_healthy(now))
     }
 
-    /// Whether it may be asked, and what it said last is not known for long yet.
+    /// Whether it may be probed now: no probe was sent recently, and a passed one is due to be renewed.
     fn may_be_probed(&self, now: Duration) -> bool {
         let known = self.healthy_at.is_some_and(|asked| now < asked + HEALTH_RENEWED_AFTER);
         !known && self.probed_at.is_none_or(|at| now >= at + PROBE_PAUSE)
