--- a/src/stats.rs
+++ b/src/stats.rs
@@ -1,28 +1,31 @@
-//! Small tools that decide nothing: a value that fades, what a class's answers take, seeded draws.
+//! Statistics for the policy: exponentially decaying values, the latency of a class, seeded random
+//! numbers.
 
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::time::Duration;
 
-/// The first latencies of a class, averaged evenly: before so many its mean is not yet judged by.
+/// The first latencies of a class are averaged with equal weight; until there are this many, no attempt
+/// is judged overdue by their mean.
 pub(crate) const LATENCY_MIN_SAMPLES: u32 = 20;
-/// Weight of one latency in the running mean.
+/// Weight of one latency in the moving average.
 const MEAN_WEIGHT: f64 = 0.05;
-/// Answers after which the unhurried mean only falls with the mean: where each of many balancers has few calls,
-/// a jam can form before twenty answers have come, and would pass for normal.
+/// Answers after which the unloaded mean only falls with the mean: when each of many balancers has few
+/// calls, overload can build up before twenty answers have come, and would be taken for normal.
 pub(crate) const UNLOADED_SAMPLES: u32 = 5;
-/// Seconds in which the least mean rises by two thirds of the way to the mean: by time and slowly, or a jam
-/// would pass for normal, the sooner the more calls a balancer has.
+/// Time constant, in seconds, in which the unloaded mean rises two thirds of the way to the mean. It
+/// rises by time, not by calls, and slowly; otherwise overload would be taken for normal, the sooner the
+/// more calls a balancer has.
 const UNLOADED_RISE_S: f64 = 60.0;
 
-/// A value, as of `at`, that falls to a third in a stated number of seconds.
+/// A value, as of `at`, that decays exponentially with a given time constant.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct DecayingValue {
     pub(crate) value: f64,
     at: Duration,
 }
 
-/// What is left of a value after so many seconds, if it falls to a third in `third`.
+/// The fraction of a value that is left after this many seconds; about a third after `time_constant`.
 fn decay(seconds: f64, time_constant: f64) -> f64 {
     (-seconds / time_constant).exp()
 }
@@ -39,23 +42,23 @@
         (self.value, self.at) = (value, now);
     }
 
-    /// Counts one more: what is read with the same `seconds` is then the rate a second.
+    /// Counts one event: a read with the same `seconds` then gives the rate a second.
     pub(crate) fn count(&mut self, now: Duration, seconds: f64) {
         self.set(now, self.read(now, seconds) + 1.0 / seconds);
     }
 
-    /// The rate a second, put right for the counting not having gone on for long yet.
+    /// The rate a second, corrected for a short time since counting began.
     pub(crate) fn rate(&self, now: Duration, seconds: f64, began: Duration) -> f64 {
         let age = now.saturating_sub(began).as_secs_f64().max(0.5);
         self.read(now, seconds) / (1.0 - decay(age, seconds))
     }
 }
 
-/// Running mean of a class's latencies, in seconds, and the least that it has been of late.
+/// Moving average of a class's latencies, in seconds, and the lowest that it has recently been.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Latency {
     pub(crate) mean: f64,
-    /// Mean distance from the mean.
+    /// Mean absolute deviation from the mean.
     pub(crate) deviation: f64,
     pub(crate) unloaded: f64,
     pub(crate) seen: u32,
@@ -63,8 +66,8 @@
 }
 
 impl Latency {
-    /// The mean and so many times the mean distance from it, which is never taken for less than a quarter of
-    /// the mean: where all answers take alike, the next one may still be a little later.
+    /// The mean plus this many mean deviations. A deviation counts as at least a quarter of the mean:
+    /// even when all latencies are alike, the next one may be a little longer.
     pub(crate) fn above_mean(&self, deviations: f64) -> Duration {
         Duration::from_secs_f64(self.mean + deviations * self.deviation.max(self.mean / 4.0))
     }
@@ -84,7 +87,7 @@
     }
 }
 
-/// Random numbers from a balancer's own seed.
+/// Random numbers generated from the balancer's seed.
 pub(crate) struct SeededRng(Pcg32);
 
 impl SeededRng {
@@ -92,12 +95,12 @@
         SeededRng(Pcg32::seed_from_u64(seed))
     }
 
-    /// An even draw from `0.0..1.0`.
+    /// A uniformly distributed number in `0.0..1.0`.
     pub(crate) fn uniform(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / 4_294_967_296.0
     }
 
-    /// An unbiased draw from `0..n`, by rejection.
+    /// An unbiased, uniformly distributed number in `0..n`, by rejection sampling.
     pub(crate) fn below(&mut self, n: usize) -> usize {
         let n = n as u32;
         let limit = u32::MAX - u32::MAX % n;
--- a/src/stats/tests.rs
+++ b/src/stats/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what only this module can see.
+//! Tests of the private statistics types.
 
 use super::*;
 
@@ -10,7 +10,7 @@
     }
     let rate = count.read(Duration::from_secs(40), 5.0);
     assert!((95.0..105.0).contains(&rate), "{rate} a second, not a hundred");
-    assert!(count.read(Duration::from_secs(45), 5.0) < rate / 2.5, "it fades");
+    assert!(count.read(Duration::from_secs(45), 5.0) < rate / 2.5, "it decays");
 }
 
 #[test]
