--- a/src/fleet/host/log.rs
+++ b/src/fleet/host/log.rs
@@ -6,8 +6,8 @@
 
 use super::{DiskSays, Figures};
 use crate::fleet::log::{Log, Output, Role, Settings, Status};
-use crate::state::memory::{Change, Memory};
-use crate::state::writer::{Refused, Writer};
+use crate::state::persisted::{Change, PersistedState};
+use crate::state::writer::{SubmitError, Writer};
 use crossbeam_channel::{Receiver, after, never, select_biased};
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{BuildHasher, Hasher, RandomState};
@@ -31,7 +31,7 @@
     /// Its number: of its state folder, or drawn where it keeps nothing.
     pub id: u64,
     /// What it remembers.
-    pub memory: Memory,
+    pub memory: PersistedState,
     /// Where it is kept; none where nothing is.
     pub writer: Option<Arc<Mutex<Writer>>>,
 }
@@ -40,7 +40,7 @@
     /// One that keeps nothing follows under a number of its own.
     pub fn without_state() -> Self {
         let id = RandomState::new().build_hasher().finish().max(1);
-        Joining { id, memory: Memory::default(), writer: None }
+        Joining { id, memory: PersistedState::default(), writer: None }
     }
 }
 
@@ -180,11 +180,11 @@
         while let Some((batch, changes)) = self.waiting.pop_front() {
             match writer.submit(changes.clone()) {
                 Ok(number) => self.taken.push_back((number, batch)),
-                Err(Refused::Full) => {
+                Err(SubmitError::Full) => {
                     self.waiting.push_front((batch, changes));
                     break;
                 }
-                Err(Refused::Over) => break, // it is told apart
+                Err(SubmitError::Stopped) => break, // it is told apart
             }
         }
         None
--- a/src/fleet/log/mod.rs
+++ b/src/fleet/log/mod.rs
@@ -25,7 +25,7 @@
 pub use storage::LoadError;
 pub use wire::{FrameError, MAX_FRAME_BYTES};
 
-use crate::state::memory::{Change, Memory, Promise};
+use crate::state::persisted::{Change, HardState, PersistedState};
 use founding::{Founder, Transition};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -129,7 +129,7 @@
 
 impl Log {
     /// Creates the log from the persisted state.
-    pub fn new(settings: Settings, memory: &Memory, now: Duration) -> Result<Self, LoadError> {
+    pub fn new(settings: Settings, memory: &PersistedState, now: Duration) -> Result<Self, LoadError> {
         let read_grant =
             |name| memory.grants.get(name).and_then(|bytes| postcard::from_bytes::<Members>(bytes).ok());
         let founded = read_grant(FOUNDED_GRANT);
@@ -393,13 +393,13 @@
         let state = postcard::to_stdvec(&ReplicatedState::founded(&members)).unwrap_or_default(); // cannot fail
         let voters = VoterConfig { voters: members.values().copied().collect(), ..VoterConfig::default() };
         let snapshot = Snapshot { index: 1, term: 1, voters, state };
-        let mut memory = Memory::default();
-        let promise = Promise { term: 1, vote: None, commit: 1 };
+        let mut memory = PersistedState::default();
+        let promise = HardState { term: 1, vote: None, commit: 1 };
         let bytes = postcard::to_stdvec(&snapshot).unwrap_or_default(); // cannot fail
         let changes = vec![
             grant_change(FOUNDED_GRANT, &members),
-            Change::Promise(promise),
-            Change::Snapshot(crate::state::memory::Snapshot { index: 1, term: 1, bytes }),
+            Change::HardState(promise),
+            Change::Snapshot(crate::state::persisted::Snapshot { index: 1, term: 1, bytes }),
         ];
         changes.iter().cloned().for_each(|change| memory.apply(change));
         // Cannot fail: the state was serialized just above.
@@ -414,7 +414,8 @@
     /// A learner starts with an empty log and persists its own from then on.
     fn become_learner(&mut self, message: wire::RaftMessage, out: &mut Vec<Output>) {
         let Some(members) = &self.founded else { return };
-        let Ok(mut voter) = Voter::new(self.settings.id, &Memory::default(), self.settings.seed) else {
+        let Ok(mut voter) = Voter::new(self.settings.id, &PersistedState::default(), self.settings.seed)
+        else {
             return;
         };
         voter.receive(message);
--- a/src/fleet/log/storage.rs
+++ b/src/fleet/log/storage.rs
@@ -2,7 +2,7 @@
 //! written or being written. Every change of it is also returned as a change for the disk.
 
 use super::wire::{Entry, Payload, Snapshot};
-use crate::state::memory::{self, Change, Memory, Promise};
+use crate::state::persisted::{self, Change, HardState, PersistedState};
 use raft::eraftpb;
 use raft::{GetEntriesContext, RaftState, StorageError};
 use std::cell::Cell;
@@ -23,7 +23,7 @@
 /// A snapshot, the entries after it, and the Raft promise (term, vote and commit index).
 #[derive(Debug, Default)]
 pub(super) struct LogStorage {
-    promise: Promise,
+    promise: HardState,
     snapshot: Snapshot,
     entries: VecDeque<Entry>,
     /// The crate has asked for a later snapshot, or for one whose configuration includes the receiver.
@@ -31,7 +31,7 @@
 }
 
 impl LogStorage {
-    pub(super) fn load(memory: &Memory) -> Result<Self, LoadError> {
+    pub(super) fn load(memory: &PersistedState) -> Result<Self, LoadError> {
         let index = memory.snapshot.index;
         let snapshot = match index {
             0 => Snapshot::default(),
@@ -43,7 +43,12 @@
             Ok(Entry { term: entry.term, index, payload })
         });
         let entries = entries.collect::<Result<_, _>>()?;
-        Ok(LogStorage { promise: memory.promise, snapshot, entries, snapshot_requested: Cell::new(false) })
+        Ok(LogStorage {
+            promise: memory.hard_state,
+            snapshot,
+            entries,
+            snapshot_requested: Cell::new(false),
+        })
     }
 
     pub(super) fn snapshot(&self) -> &Snapshot {
@@ -77,7 +82,7 @@
         &mut self,
         snapshot: Option<Snapshot>,
         entries: Vec<Entry>,
-        promise: Option<Promise>,
+        promise: Option<HardState>,
     ) -> Vec<Change> {
         let mut changes = Vec::new();
         if let Some(snapshot) = snapshot {
@@ -89,7 +94,7 @@
         }
         if let Some(first) = entries.first().map(|entry| entry.index) {
             self.entries.truncate((first - self.snapshot.index - 1) as usize);
-            let stored = entries.iter().map(|entry| memory::Entry {
+            let stored = entries.iter().map(|entry| persisted::Entry {
                 term: entry.term,
                 bytes: postcard::to_stdvec(&entry.payload).unwrap_or_default(), // serializing to memory does not fail
             });
@@ -98,7 +103,7 @@
         }
         if let Some(promise) = promise {
             self.promise = promise;
-            changes.push(Change::Promise(promise));
+            changes.push(Change::HardState(promise));
         }
         changes
     }
@@ -122,12 +127,12 @@
 
 fn snapshot_change(snapshot: &Snapshot) -> Change {
     let bytes = postcard::to_stdvec(snapshot).unwrap_or_default(); // cannot fail
-    Change::Snapshot(memory::Snapshot { index: snapshot.index, term: snapshot.term, bytes })
+    Change::Snapshot(persisted::Snapshot { index: snapshot.index, term: snapshot.term, bytes })
 }
 
 impl raft::Storage for LogStorage {
     fn initial_state(&self) -> raft::Result<RaftState> {
-        let Promise { term, vote, commit } = self.promise;
+        let HardState { term, vote, commit } = self.promise;
         let hard_state =
             eraftpb::HardState { term, vote: vote.unwrap_or(0), commit, ..eraftpb::HardState::default() };
         Ok(RaftState { hard_state, conf_state: self.snapshot.voters.clone().into_raft() })
--- a/src/fleet/log/voter.rs
+++ b/src/fleet/log/voter.rs
@@ -7,7 +7,7 @@
 use super::replicated_state::{Command, Outcome, ReplicatedState};
 use super::storage::{LoadError, LogStorage};
 use super::wire::{Entry, Payload, RaftMessage, Snapshot, VoterChange, VoterConfig, conf_change};
-use crate::state::memory::{Change, Memory, Promise};
+use crate::state::persisted::{Change, HardState, PersistedState};
 use raft::{Config, ProgressState, RawNode, SnapshotStatus, StateRole};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
@@ -72,7 +72,7 @@
 
 impl Voter {
     /// Creates a voter from its persisted state, which has a snapshot: a founding writes one.
-    pub(super) fn new(id: u64, memory: &Memory, seed: u64) -> Result<Self, LoadError> {
+    pub(super) fn new(id: u64, memory: &PersistedState, seed: u64) -> Result<Self, LoadError> {
         let storage = LogStorage::load(memory)?;
         let Snapshot { index, ref state, .. } = *storage.snapshot();
         // A replacement has no snapshot yet and receives everything from the leader.
@@ -264,7 +264,7 @@
             }
             let committed = ready.take_committed_entries();
             let entries = ready.take_entries().into_iter().filter_map(Entry::from_raft).collect();
-            let promise = ready.hs().map(|hard_state| Promise {
+            let promise = ready.hs().map(|hard_state| HardState {
                 term: hard_state.term,
                 vote: Some(hard_state.vote).filter(|vote| *vote != 0),
                 commit: hard_state.commit,
--- a/src/fleet/log/wire.rs
+++ b/src/fleet/log/wire.rs
@@ -4,7 +4,7 @@
 //! cluster's name.
 
 use super::founding::Founding;
-use crate::state::record::{self, RecordFault};
+use crate::state::record::{self, RecordError};
 use raft::eraftpb;
 use raft::prelude::{ConfChangeSingle, ConfChangeTransition, ConfChangeType, ConfChangeV2, EntryType};
 use serde::{Deserialize, Serialize};
@@ -183,9 +183,9 @@
 /// Checks and decodes a received frame.
 pub fn decode(cluster: &str, frame: &[u8]) -> Result<Message, FrameError> {
     record::open(cluster, frame).map_err(|fault| match fault {
-        RecordFault::Damaged(_) => FrameError::Corrupt,
-        RecordFault::Newer { .. } => FrameError::Newer,
-        RecordFault::Senseless(..) => FrameError::Malformed,
+        RecordError::Damaged(_) => FrameError::Corrupt,
+        RecordError::Newer { .. } => FrameError::Newer,
+        RecordError::Malformed(..) => FrameError::Malformed,
     })
 }
 
--- a/src/fleet/members/datagram.rs
+++ b/src/fleet/members/datagram.rs
@@ -11,7 +11,7 @@
 //! | rest | what foca says |
 
 use crate::fleet::sequence_window::SequenceWindow;
-use crate::state::record::sum;
+use crate::state::record::checksum;
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
 use std::time::Duration;
@@ -75,7 +75,7 @@
         datagram.extend(self.life.to_le_bytes());
         datagram.extend(self.sent.to_le_bytes());
         datagram.extend(content);
-        let sum = sum(&self.cluster, &datagram[4..]).to_le_bytes();
+        let sum = checksum(&self.cluster, &datagram[4..]).to_le_bytes();
         datagram[..4].copy_from_slice(&sum);
         datagram
     }
@@ -88,7 +88,7 @@
         let (life, rest) = rest.split_first_chunk::<8>().ok_or(Dropped::Torn)?;
         let (number, content) = rest.split_first_chunk::<8>().ok_or(Dropped::Torn)?;
         let ours = u32::from_le_bytes(*cluster) == crc32fast::hash(self.cluster.as_bytes());
-        if sum(&self.cluster, sealed) != u32::from_le_bytes(*told) {
+        if checksum(&self.cluster, sealed) != u32::from_le_bytes(*told) {
             // Another cluster's has another sum: it tells itself by the name's, where that came whole.
             return Err(if ours { Dropped::Torn } else { Dropped::Foreign });
         }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -23,7 +23,7 @@
 //! | streams to log | [`host::FRAMES`] frames | the newest is dropped, as senders repeat their messages | `fleet_log_frames_lost_total` |
 //! | log to streams | as many | the same | the same |
 //! | streams to a peer | [`host::PEER_DEPTH`] frames | the same; frames to other peers are not affected | the same |
-//! | log to disk | [`crate::state::writer::DEPTH`] batches | the log thread keeps them and sends nothing that depends on them | `state_refused_total` |
+//! | log to disk | [`crate::state::writer::QUEUE_CAPACITY`] batches | the log thread keeps them and sends nothing that depends on them | `state_refused_total` |
 //! | disk to log | [`host::DISK_DEPTH`] notifications | the disk thread blocks | `state_stuck_seconds` |
 //! | view to serving | one view, the newest | the older one is replaced | nowhere: a view is a state, not an event |
 //!
--- a/src/net/persistence.rs
+++ b/src/net/persistence.rs
@@ -3,9 +3,9 @@
 
 use crossbeam_channel::Sender;
 use gullpulley::fleet::host::{DiskSays, Joining};
-use gullpulley::state::memory::{Change, Identity, Memory};
+use gullpulley::state::persisted::{Change, Identity, PersistedState};
 use gullpulley::state::store::Found;
-use gullpulley::state::writer::{Refused, Statement, Writer};
+use gullpulley::state::writer::{Notification, SubmitError, Writer};
 use prometheus_client::metrics::counter::ConstCounter;
 use prometheus_client::metrics::gauge::ConstGauge;
 use prometheus_client::registry::Registry;
@@ -30,7 +30,7 @@
     /// Shared with the fleet log's thread, which writes too.
     writer: Arc<Mutex<Writer>>,
     /// The state loaded from disk, until the fleet log takes it.
-    loaded: RefCell<Memory>,
+    loaded: RefCell<PersistedState>,
     /// This process's identity, and the number of the batch that persists it.
     identity_batch: RefCell<Option<(u64, Identity)>>,
     /// The folder's id and the incarnation, once that is durable; `Some(None)` if nothing can be persisted.
@@ -50,13 +50,13 @@
         folder: PathBuf,
         name: &str,
         log: Option<Sender<DiskSays>>,
-    ) -> io::Result<(Rc<Self>, Receiver<Statement>)> {
+    ) -> io::Result<(Rc<Self>, Receiver<Notification>)> {
         let (sender, statements) = channel(NOTIFICATION_CAPACITY);
-        let notify = move |statement: Statement| {
+        let notify = move |statement: Notification| {
             let event = match &statement {
-                Statement::Durable(number) => Some(DiskSays::Durable(*number)),
-                Statement::Over(_) => Some(DiskSays::Over),
-                Statement::Waiting(_) | Statement::Opened(_) | Statement::Failing(_) => None,
+                Notification::Durable(number) => Some(DiskSays::Durable(*number)),
+                Notification::Stopped(_) => Some(DiskSays::Over),
+                Notification::Waiting(_) | Notification::Opened(_) | Notification::Failing(_) => None,
             };
             // Both sends fail only while the process ends.
             if let (Some(log), Some(event)) = (&log, event) {
@@ -96,20 +96,20 @@
     }
 
     /// Handles notifications from the disk thread.
-    pub async fn run(self: Rc<Self>, mut statements: Receiver<Statement>) {
+    pub async fn run(self: Rc<Self>, mut statements: Receiver<Notification>) {
         while let Some(statement) = statements.recv().await {
             match statement {
-                Statement::Waiting(why) => {
+                Notification::Waiting(why) => {
                     info!("state: {why}; waiting for it while requests are answered")
                 }
-                Statement::Opened(found) => self.handle_opened(found),
-                Statement::Failing(e) => {
+                Notification::Opened(found) => self.handle_opened(found),
+                Notification::Failing(e) => {
                     self.failing.set(true);
                     error!(
                         "state: {e}; nothing is confirmed until a fresh file can be written; requests are still answered"
                     );
                 }
-                Statement::Durable(number) => {
+                Notification::Durable(number) => {
                     if self.failing.take() {
                         info!("state: all of it is persisted again");
                     }
@@ -122,7 +122,7 @@
                         self.durable_start.send_replace(Some(Some((folder, incarnation))));
                     }
                 }
-                Statement::Over(e) => {
+                Notification::Stopped(e) => {
                     self.stopped.set(true);
                     self.durable_start
                         .send_if_modified(|start| start.is_none() && start.replace(None).is_none());
@@ -134,15 +134,15 @@
 
     fn handle_opened(&self, found: Found) {
         let memory = match found {
-            Found::Kept(memory) => memory,
-            Found::Nothing => Memory::default(),
+            Found::State(memory) => memory,
+            Found::Nothing => PersistedState::default(),
             Found::SetAside(path, why) => {
                 self.set_aside.set(self.set_aside.get() + 1);
                 warn!(
                     "state: {why}; it was moved to {}, and this process starts with empty state",
                     path.display()
                 );
-                Memory::default()
+                PersistedState::default()
             }
         };
         let identity = match memory.identity.clone() {
@@ -151,7 +151,7 @@
         };
         match self.writer().submit(vec![Change::Identity(identity.clone())]) {
             Ok(batch) => drop(self.identity_batch.replace(Some((batch, identity)))),
-            Err(Refused::Full | Refused::Over) => {
+            Err(SubmitError::Full | SubmitError::Stopped) => {
                 warn!("state: this incarnation could not be queued for writing")
             }
         }
@@ -169,7 +169,7 @@
     /// Adds these metrics to a registry.
     pub fn register(&self, registry: &mut Registry) {
         let writer = self.writer();
-        let stats = writer.figures();
+        let stats = writer.stats();
         let state = registry.sub_registry_with_prefix("state");
         for (name, help, value) in [
             (
--- a/src/state/memory.rs
+++ b/src/state/persisted.rs
@@ -27,7 +27,7 @@
 
 /// What a voter has promised, and how far it knows the log to be agreed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Promise {
+pub struct HardState {
     /// The latest term it has seen.
     pub term: u64,
     /// Whom it voted for in that term.
@@ -62,7 +62,7 @@
     /// Who this process is.
     Identity(Identity),
     /// What it has promised as a voter.
-    Promise(Promise),
+    HardState(HardState),
     /// The log from `first` on is these entries, and nothing behind them.
     Log {
         /// Index of the first of them.
@@ -90,11 +90,11 @@
 
 /// Everything that is remembered.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Memory {
+pub struct PersistedState {
     /// Who this process is; none on a folder that is new.
     pub identity: Option<Identity>,
     /// What it has promised.
-    pub promise: Promise,
+    pub hard_state: HardState,
     /// The last agreed state kept; its index is 0 where there is none.
     pub snapshot: Snapshot,
     /// The log behind the snapshot, by index.
@@ -107,10 +107,10 @@
 
 /// Why what is remembered can't be true: a voter with such a memory must not vote.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Contradiction {
+pub enum Inconsistency {
     /// The log has a hole, or does not begin where the snapshot ends.
     #[error("the log has no entry {missing}, though it goes on to {last}")]
-    Hole {
+    Gap {
         /// The first index that is not there.
         missing: u64,
         /// The last that is.
@@ -136,16 +136,16 @@
     },
     /// A folder knows of votes or entries, but not whose they are.
     #[error("there is a log or a promise, but not whose")]
-    Nobody,
+    NoIdentity,
 }
 
-impl Memory {
+impl PersistedState {
     /// All of it as changes to an empty one.
     pub fn changes(&self) -> Vec<Change> {
         let identity = self.identity.clone().map(Change::Identity);
         let first = self.snapshot.index + 1;
         let log = Change::Log { first, entries: self.log.values().cloned().collect() };
-        let fixed = [Change::Promise(self.promise), Change::Snapshot(self.snapshot.clone()), log];
+        let fixed = [Change::HardState(self.hard_state), Change::Snapshot(self.snapshot.clone()), log];
         let epochs =
             self.epochs.iter().map(|(duty, epoch)| Change::Epoch { duty: duty.clone(), epoch: *epoch });
         let grants = self
@@ -159,7 +159,7 @@
     pub fn apply(&mut self, change: Change) {
         match change {
             Change::Identity(identity) => self.identity = Some(identity),
-            Change::Promise(promise) => self.promise = promise,
+            Change::HardState(promise) => self.hard_state = promise,
             Change::Log { first, entries } => {
                 drop(self.log.split_off(&first));
                 self.log.extend((first..).zip(entries));
@@ -183,24 +183,28 @@
     }
 
     /// Whether all of it can be true at once.
-    pub fn check(&self) -> Result<(), Contradiction> {
+    pub fn check(&self) -> Result<(), Inconsistency> {
         let mut known = self.snapshot.term;
         for (wanted, (&index, entry)) in (self.snapshot.index + 1..).zip(&self.log) {
             if index != wanted {
-                return Err(Contradiction::Hole { missing: wanted, last: self.last() });
+                return Err(Inconsistency::Gap { missing: wanted, last: self.last() });
             }
             if entry.term < known {
-                return Err(Contradiction::Term { index, term: entry.term, known });
+                return Err(Inconsistency::Term { index, term: entry.term, known });
             }
             known = entry.term;
         }
-        if known > self.promise.term {
-            return Err(Contradiction::Term { index: self.last(), term: known, known: self.promise.term });
+        if known > self.hard_state.term {
+            return Err(Inconsistency::Term {
+                index: self.last(),
+                term: known,
+                known: self.hard_state.term,
+            });
         }
-        if self.promise.commit > self.last() {
-            return Err(Contradiction::Commit { commit: self.promise.commit, last: self.last() });
+        if self.hard_state.commit > self.last() {
+            return Err(Inconsistency::Commit { commit: self.hard_state.commit, last: self.last() });
         }
-        let spoken = self.promise != Promise::default() || self.last() > 0;
-        if spoken && self.identity.is_none() { Err(Contradiction::Nobody) } else { Ok(()) }
+        let spoken = self.hard_state != HardState::default() || self.last() > 0;
+        if spoken && self.identity.is_none() { Err(Inconsistency::NoIdentity) } else { Ok(()) }
     }
 }
--- a/src/state/record.rs
+++ b/src/state/record.rs
@@ -8,11 +8,11 @@
 /// The form of records that this build writes. It reads all that came before.
 pub const VERSION: u8 = 1;
 /// Bytes before the content: the checksum and the version.
-const HEAD: usize = 5;
+const HEADER_LEN: usize = 5;
 
 /// Why a record can't be read.
 #[derive(Debug, Error)]
-pub enum RecordFault {
+pub enum RecordError {
     /// It is not what was written there.
     #[error("{0}: its checksum is wrong: it was changed, torn or put in another's place")]
     Damaged(String),
@@ -28,11 +28,11 @@
     },
     /// It is what was written there, but says nothing that it could.
     #[error("{0}: {1}")]
-    Senseless(String, postcard::Error),
+    Malformed(String, postcard::Error),
 }
 
 /// CRC-32 over a place, a zero byte, and what is sealed for it.
-pub fn sum(place: &str, sealed: &[u8]) -> u32 {
+pub fn checksum(place: &str, sealed: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     hasher.update(place.as_bytes());
     hasher.update(&[0]);
@@ -41,26 +41,26 @@
 }
 
 /// A value's record for this place.
-pub fn seal<T: Serialize>(place: &str, value: &T) -> Result<Vec<u8>, RecordFault> {
-    let content = postcard::to_stdvec(value).map_err(|e| RecordFault::Senseless(place.to_owned(), e))?;
-    let mut record = vec![0; HEAD - 1];
+pub fn seal<T: Serialize>(place: &str, value: &T) -> Result<Vec<u8>, RecordError> {
+    let content = postcard::to_stdvec(value).map_err(|e| RecordError::Malformed(place.to_owned(), e))?;
+    let mut record = vec![0; HEADER_LEN - 1];
     record.push(VERSION);
     record.extend(content);
-    let sum = sum(place, &record[HEAD - 1..]).to_le_bytes();
-    record[..HEAD - 1].copy_from_slice(&sum);
+    let sum = checksum(place, &record[HEADER_LEN - 1..]).to_le_bytes();
+    record[..HEADER_LEN - 1].copy_from_slice(&sum);
     Ok(record)
 }
 
 /// The value of the record that was found at this place.
-pub fn open<T: DeserializeOwned>(place: &str, record: &[u8]) -> Result<T, RecordFault> {
-    let damaged = || RecordFault::Damaged(place.to_owned());
+pub fn open<T: DeserializeOwned>(place: &str, record: &[u8]) -> Result<T, RecordError> {
+    let damaged = || RecordError::Damaged(place.to_owned());
     let (head, sealed) = record.split_first_chunk::<4>().ok_or_else(damaged)?;
     let (version, content) = sealed.split_first().ok_or_else(damaged)?;
-    if sum(place, sealed) != u32::from_le_bytes(*head) {
+    if checksum(place, sealed) != u32::from_le_bytes(*head) {
         return Err(damaged());
     }
     if *version > VERSION {
-        return Err(RecordFault::Newer { at: place.to_owned(), found: *version });
+        return Err(RecordError::Newer { at: place.to_owned(), found: *version });
     }
-    postcard::from_bytes(content).map_err(|e| RecordFault::Senseless(place.to_owned(), e))
+    postcard::from_bytes(content).map_err(|e| RecordError::Malformed(place.to_owned(), e))
 }
--- a/src/state/fresh.rs
+++ b/src/state/rewrite.rs
@@ -2,24 +2,24 @@
 //! one that can't be trusted any more. That one is never written or synced again: the system may have dropped pages
 //! whose sync failed, and a second sync would not say so.
 
-use super::memory::Memory;
-use super::store::{FILE, SUSPECT, Store, StoreError, durable_folder};
+use super::persisted::PersistedState;
+use super::store::{FILE, SUSPECT_MARKER, Store, StoreError, durable_folder};
 use std::fs;
 use std::io;
 use std::path::Path;
 
 /// The fresh file until it takes its place; what a kill leaves of one is written over.
-pub const FRESH: &str = "memory.fresh";
+pub const TEMP_FILE: &str = "memory.fresh";
 
 /// Writes all of a memory to a fresh file, which takes the place of the folder's; returns once that is durable.
 ///
 /// # Errors
 /// Where the disk still fails. It may be called again.
-pub fn write(folder: &Path, memory: &Memory) -> Result<Store, StoreError> {
-    let (fresh, file, suspect) = (folder.join(FRESH), folder.join(FILE), folder.join(SUSPECT));
+pub fn rewrite(folder: &Path, memory: &PersistedState) -> Result<Store, StoreError> {
+    let (fresh, file, suspect) = (folder.join(TEMP_FILE), folder.join(FILE), folder.join(SUSPECT_MARKER));
     let failed = |path: &Path| {
         let path = path.to_owned();
-        move |e: io::Error| StoreError::Unreachable(path, e)
+        move |e: io::Error| StoreError::Io(path, e)
     };
     remove(&fresh).map_err(failed(&fresh))?;
     let mut store = Store::create(&fresh)?;
--- a/src/state/trial.rs
+++ b/src/state/scratch.rs
@@ -10,16 +10,16 @@
 
 /// The copy.
 #[derive(Debug)]
-pub struct Scratch {
+pub struct ScratchBackend {
     bytes: Mutex<Vec<u8>>,
     most: usize,
 }
 
-impl Scratch {
+impl ScratchBackend {
     /// A copy of these bytes.
     pub fn of(bytes: Vec<u8>) -> Self {
         let most = bytes.len() + GROWTH;
-        Scratch { bytes: Mutex::new(bytes), most }
+        ScratchBackend { bytes: Mutex::new(bytes), most }
     }
 
     fn bytes(&self) -> MutexGuard<'_, Vec<u8>> {
@@ -34,7 +34,7 @@
     Ok(bytes.get_mut(from..to).ok_or(io::ErrorKind::UnexpectedEof)?)
 }
 
-impl StorageBackend for Scratch {
+impl StorageBackend for ScratchBackend {
     fn len(&self) -> io::Result<u64> {
         Ok(self.bytes().len() as u64)
     }
--- a/src/state/store.rs
+++ b/src/state/store.rs
@@ -2,9 +2,9 @@
 //! it is read. What can't be trusted is set aside under another name and never repaired: half a voter's memory is
 //! worse than none.
 
-use super::memory::{Change, Contradiction, Entry, Identity, Memory, Promise, Snapshot};
-use super::record::{self, RecordFault};
-use super::trial::Scratch;
+use super::persisted::{Change, Entry, HardState, Identity, Inconsistency, PersistedState, Snapshot};
+use super::record::{self, RecordError};
+use super::scratch::ScratchBackend;
 use redb::{
     Database, DatabaseError, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition, TableError,
     TableHandle,
@@ -23,8 +23,8 @@
 /// The store's file in its folder.
 pub const FILE: &str = "memory.redb";
 /// Left in the folder when a sync has failed: what the system then shows as written may never have reached the disk.
-pub const SUSPECT: &str = "memory.suspect";
-/// Memory that the store may use for pages, in bytes: it holds little, and is read whole once.
+pub const SUSPECT_MARKER: &str = "memory.suspect";
+/// PersistedState that the store may use for pages, in bytes: it holds little, and is read whole once.
 const CACHE: usize = 1 << 20;
 
 /// Where redb's file has its flags, and three of them: the second of the two commits that it holds is the last; pages
@@ -53,21 +53,21 @@
 pub enum StoreError {
     /// Another process has it. The lock decides.
     #[error("{0}: another process has it open: stop that one, or name another state.dir")]
-    Taken(PathBuf),
+    Locked(PathBuf),
     /// The file can't be opened or read, though there may be nothing wrong with what it holds.
     #[error("{0}: {1}")]
-    Unreachable(PathBuf, io::Error),
+    Io(PathBuf, io::Error),
     /// A later build wrote it. It is left as it is.
     #[error(transparent)]
-    Newer(RecordFault),
+    Newer(RecordError),
     /// A write or its sync failed: nothing is written any more.
     #[error("a write failed and is not tried again: {0}")]
-    Failed(String),
+    WriteFailed(String),
 }
 
 /// Why what was found can't be trusted.
 #[derive(Debug, Error)]
-pub enum Distrust {
+pub enum SetAsideReason {
     /// A sync of it failed in an earlier life.
     #[error("a sync of it failed before: what it shows may never have been on the disk")]
     Suspect,
@@ -76,10 +76,10 @@
     Damaged(String),
     /// A record is.
     #[error(transparent)]
-    Record(#[from] RecordFault),
+    Record(#[from] RecordError),
     /// Its records contradict each other.
     #[error(transparent)]
-    Contradiction(#[from] Contradiction),
+    Inconsistent(#[from] Inconsistency),
     /// It is another's folder.
     #[error("it belongs to `{found}`, and this is `{own}`")]
     Foreign {
@@ -94,11 +94,11 @@
 #[derive(Debug)]
 pub enum Found {
     /// A memory that can be trusted as far as the folder can.
-    Kept(Memory),
+    State(PersistedState),
     /// Nothing.
     Nothing,
     /// Something that can't be trusted; it now has this name.
-    SetAside(PathBuf, Distrust),
+    SetAside(PathBuf, SetAsideReason),
 }
 
 /// An open store.
@@ -110,50 +110,50 @@
 
 /// What went wrong while the file was opened or read.
 enum Trouble {
-    Distrust(Distrust),
+    SetAsideReason(SetAsideReason),
     Error(StoreError),
 }
 
 impl StoreError {
     /// Whether it may be over in a while: the disk is full, or refuses, or descriptors lack.
-    pub fn may_pass(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         let passing = [libc::ENOSPC, libc::EDQUOT, libc::EIO, libc::EMFILE, libc::ENFILE, libc::ENOMEM];
         match self {
-            StoreError::Unreachable(_, e) => e.raw_os_error().is_some_and(|code| passing.contains(&code)),
-            StoreError::Failed(_) => true,
-            StoreError::Taken(_) | StoreError::Newer(_) => false,
+            StoreError::Io(_, e) => e.raw_os_error().is_some_and(|code| passing.contains(&code)),
+            StoreError::WriteFailed(_) => true,
+            StoreError::Locked(_) | StoreError::Newer(_) => false,
         }
     }
 }
 
-impl From<RecordFault> for Trouble {
-    fn from(fault: RecordFault) -> Self {
+impl From<RecordError> for Trouble {
+    fn from(fault: RecordError) -> Self {
         match fault {
-            RecordFault::Newer { .. } => Trouble::Error(StoreError::Newer(fault)),
-            fault => Trouble::Distrust(fault.into()),
+            RecordError::Newer { .. } => Trouble::Error(StoreError::Newer(fault)),
+            fault => Trouble::SetAsideReason(fault.into()),
         }
     }
 }
 
-impl From<Contradiction> for Trouble {
-    fn from(contradiction: Contradiction) -> Self {
-        Trouble::Distrust(contradiction.into())
+impl From<Inconsistency> for Trouble {
+    fn from(contradiction: Inconsistency) -> Self {
+        Trouble::SetAsideReason(contradiction.into())
     }
 }
 
 /// What the file's own checks found.
 fn damaged(problem: impl ToString) -> Trouble {
-    Trouble::Distrust(Distrust::Damaged(problem.to_string()))
+    Trouble::SetAsideReason(SetAsideReason::Damaged(problem.to_string()))
 }
 
 impl Store {
     /// Opens the store of this folder for the process of this name, and says what was found in it. `stamp` becomes part
     /// of the name under which what can't be trusted is set aside.
     pub fn open(folder: &Path, name: &str, stamp: &str) -> Result<(Self, Found), StoreError> {
-        let unreachable = |path: &Path, e: io::Error| StoreError::Unreachable(path.to_owned(), e);
+        let unreachable = |path: &Path, e: io::Error| StoreError::Io(path.to_owned(), e);
         fs::create_dir_all(folder).map_err(|e| unreachable(folder, e))?;
-        let (file, suspect) = (folder.join(FILE), folder.join(SUSPECT));
-        let bytes = locked(&file).map_err(|e| e.unwrap_or_else(|| StoreError::Taken(file.clone())))?;
+        let (file, suspect) = (folder.join(FILE), folder.join(SUSPECT_MARKER));
+        let bytes = locked(&file).map_err(|e| e.unwrap_or_else(|| StoreError::Locked(file.clone())))?;
         let new = bytes.is_none();
         let marked = suspect.try_exists().map_err(|e| unreachable(&suspect, e))?;
         if marked && new {
@@ -161,7 +161,7 @@
             fs::remove_file(&suspect).map_err(|e| unreachable(&suspect, e))?;
         }
         let distrusted = match marked && !new {
-            true => Err(Trouble::Distrust(Distrust::Suspect)),
+            true => Err(Trouble::SetAsideReason(SetAsideReason::Suspect)),
             false => trial(bytes.unwrap_or_default(), name).and_then(|memory| open(&file, memory)),
         };
         let why = match distrusted {
@@ -169,34 +169,37 @@
                 durable_folder(folder).map_err(|e| unreachable(folder, e))?;
                 return Ok((store, Found::Nothing));
             }
-            Ok((store, memory)) => return Ok((store, Found::Kept(memory))),
+            Ok((store, memory)) => return Ok((store, Found::State(memory))),
             Err(Trouble::Error(error)) => return Err(error),
-            Err(Trouble::Distrust(why)) => why,
+            Err(Trouble::SetAsideReason(why)) => why,
         };
         let aside = aside(folder, stamp).map_err(|e| unreachable(folder, e))?;
         fs::rename(&file, &aside).map_err(|e| unreachable(&file, e))?;
-        if matches!(why, Distrust::Suspect) {
+        if matches!(why, SetAsideReason::Suspect) {
             fs::remove_file(&suspect).map_err(|e| unreachable(&suspect, e))?;
         }
         durable_folder(folder).map_err(|e| unreachable(folder, e))?;
-        match open(&file, Memory::default()) {
+        match open(&file, PersistedState::default()) {
             Ok((store, _)) => Ok((store, Found::SetAside(aside, why))),
             Err(Trouble::Error(error)) => Err(error),
-            Err(Trouble::Distrust(again)) => Err(StoreError::Failed(again.to_string())),
+            Err(Trouble::SetAsideReason(again)) => Err(StoreError::WriteFailed(again.to_string())),
         }
     }
 
     /// A new and empty store in a file that is not there yet.
     pub(super) fn create(file: &Path) -> Result<Self, StoreError> {
-        match open(file, Memory::default()) {
+        match open(file, PersistedState::default()) {
             Ok((store, _)) => Ok(store),
             Err(Trouble::Error(error)) => Err(error),
-            Err(Trouble::Distrust(why)) => Err(StoreError::Failed(why.to_string())),
+            Err(Trouble::SetAsideReason(why)) => Err(StoreError::WriteFailed(why.to_string())),
         }
     }
 
     /// A store on a disk of one's own making, empty or as it was left.
-    pub fn on(disk: impl StorageBackend, name: &str) -> Result<(Self, Memory), Distrust> {
+    pub fn open_backend(
+        disk: impl StorageBackend,
+        name: &str,
+    ) -> Result<(Self, PersistedState), SetAsideReason> {
         let length = disk.len().unwrap_or_default() as usize;
         let mut bytes = vec![0; length];
         let opened = disk.read(0, &mut bytes).map_err(damaged).and_then(|()| {
@@ -204,8 +207,8 @@
             opened(|| builder().create_with_backend(disk), memory)
         });
         opened.map_err(|trouble| match trouble {
-            Trouble::Distrust(why) => why,
-            Trouble::Error(error) => Distrust::Damaged(error.to_string()),
+            Trouble::SetAsideReason(why) => why,
+            Trouble::Error(error) => SetAsideReason::Damaged(error.to_string()),
         })
     }
 
@@ -213,12 +216,12 @@
     /// system may take pages whose sync failed for written, and a second sync would say so.
     pub fn commit<'a>(&mut self, changes: impl IntoIterator<Item = &'a Change>) -> Result<(), StoreError> {
         if self.failed {
-            return Err(StoreError::Failed("an earlier one failed".to_owned()));
+            return Err(StoreError::WriteFailed("an earlier one failed".to_owned()));
         }
         let written = catch_unwind(AssertUnwindSafe(|| self.write(changes)));
         let written = written.unwrap_or_else(|_| Err("the store could not go on".to_owned()));
         self.failed = written.is_err();
-        written.map_err(StoreError::Failed)
+        written.map_err(StoreError::WriteFailed)
     }
 
     fn write<'a>(&self, changes: impl IntoIterator<Item = &'a Change>) -> Result<(), String> {
@@ -234,7 +237,7 @@
             for change in changes {
                 match change {
                     Change::Identity(identity) => put(&mut one, IDENTITY, identity)?,
-                    Change::Promise(promise) => put(&mut one, PROMISE, promise)?,
+                    Change::HardState(promise) => put(&mut one, PROMISE, promise)?,
                     Change::Log { first, entries } => {
                         log.retain_in::<u64, _>(*first.., |_, _| false).map_err(|e| text(&e))?;
                         for (index, entry) in (*first..).zip(entries) {
@@ -270,8 +273,8 @@
 }
 
 /// Leaves word in the folder that a sync of its store failed. Where even that fails there is nothing more to be done.
-pub fn suspect(folder: &Path) -> io::Result<()> {
-    File::create(folder.join(SUSPECT))?.sync_all()?;
+pub fn mark_suspect(folder: &Path) -> io::Result<()> {
+    File::create(folder.join(SUSPECT_MARKER))?.sync_all()?;
     durable_folder(folder)
 }
 
@@ -283,7 +286,7 @@
 
 /// The bytes of a file, read while nobody else has it; none where there is none. An error without a cause: taken.
 fn locked(file: &Path) -> Result<Option<Vec<u8>>, Option<StoreError>> {
-    let unreachable = |e: io::Error| Some(StoreError::Unreachable(file.to_owned(), e));
+    let unreachable = |e: io::Error| Some(StoreError::Io(file.to_owned(), e));
     let mut lock = match File::open(file) {
         Ok(lock) => lock,
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
@@ -301,9 +304,9 @@
 
 /// Opens a copy of a file in memory, reads all of it and closes it again: what is damaged must be kept as it was
 /// found, and opening writes. Damage may bring the reader down, also as it closes; that too is damage.
-fn trial(bytes: Vec<u8>, name: &str) -> Result<Memory, Trouble> {
+fn trial(bytes: Vec<u8>, name: &str) -> Result<PersistedState, Trouble> {
     if bytes.is_empty() {
-        return Ok(Memory::default());
+        return Ok(PersistedState::default());
     }
     let trying = || {
         let (mut bytes, mut flags) = (bytes, 0);
@@ -327,7 +330,7 @@
                 repair.abort()
             }
         });
-        let mut database = builder.create_with_backend(Scratch::of(bytes)).map_err(trouble)?;
+        let mut database = builder.create_with_backend(ScratchBackend::of(bytes)).map_err(trouble)?;
         if !database.check_integrity().map_err(trouble)? {
             return Err(damaged("its pages do not fit together"));
         }
@@ -337,7 +340,7 @@
         match &memory.identity {
             Some(Identity { name: found, .. }) if found != name => {
                 let (found, own) = (found.clone(), name.to_owned());
-                Err(Trouble::Distrust(Distrust::Foreign { found, own }))
+                Err(Trouble::SetAsideReason(SetAsideReason::Foreign { found, own }))
             }
             _ => Ok(memory),
         }
@@ -345,12 +348,10 @@
     catch_unwind(AssertUnwindSafe(trying)).unwrap_or_else(|_| Err(damaged("it can't be read")))
 }
 
-fn open(file: &Path, tried: Memory) -> Result<(Store, Memory), Trouble> {
+fn open(file: &Path, tried: PersistedState) -> Result<(Store, PersistedState), Trouble> {
     opened(|| builder().create(file), tried).map_err(|found| match found {
-        Trouble::Error(StoreError::Taken(_)) => Trouble::Error(StoreError::Taken(file.to_owned())),
-        Trouble::Error(StoreError::Unreachable(_, e)) => {
-            Trouble::Error(StoreError::Unreachable(file.to_owned(), e))
-        }
+        Trouble::Error(StoreError::Locked(_)) => Trouble::Error(StoreError::Locked(file.to_owned())),
+        Trouble::Error(StoreError::Io(_, e)) => Trouble::Error(StoreError::Io(file.to_owned(), e)),
         found => found,
     })
 }
@@ -358,8 +359,8 @@
 /// Opens a database that was tried, and reads it again.
 fn opened(
     create: impl FnOnce() -> Result<Database, DatabaseError>,
-    tried: Memory,
-) -> Result<(Store, Memory), Trouble> {
+    tried: PersistedState,
+) -> Result<(Store, PersistedState), Trouble> {
     let opening = || {
         let database = create().map_err(trouble)?;
         match read(&database)? == tried {
@@ -372,11 +373,11 @@
 
 fn trouble(error: DatabaseError) -> Trouble {
     match error {
-        DatabaseError::DatabaseAlreadyOpen => Trouble::Error(StoreError::Taken(PathBuf::new())),
+        DatabaseError::DatabaseAlreadyOpen => Trouble::Error(StoreError::Locked(PathBuf::new())),
         // Only the trial ends a repair, where it finds the last commit damaged.
         DatabaseError::RepairAborted => damaged("pages of its last commit are not as their checksums say"),
         DatabaseError::Storage(redb::StorageError::Io(e)) if !of_content(&e) => {
-            Trouble::Error(StoreError::Unreachable(PathBuf::new(), e))
+            Trouble::Error(StoreError::Io(PathBuf::new(), e))
         }
         error => damaged(error),
     }
@@ -387,13 +388,13 @@
     matches!(e.kind(), io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof)
 }
 
-fn read(database: &Database) -> Result<Memory, Trouble> {
+fn read(database: &Database) -> Result<PersistedState, Trouble> {
     let reading = database.begin_read().map_err(damaged)?;
-    let mut memory = Memory::default();
+    let mut memory = PersistedState::default();
     // A new store has no tables.
     let Some(one) = there(reading.open_table(ONE))? else { return Ok(memory) };
     memory.identity = get(&one, IDENTITY)?;
-    memory.promise = get::<Promise>(&one, PROMISE)?.unwrap_or_default();
+    memory.hard_state = get::<HardState>(&one, PROMISE)?.unwrap_or_default();
     memory.snapshot = get::<Snapshot>(&one, SNAPSHOT)?.unwrap_or_default();
     if let Some(log) = there(reading.open_table(LOG))? {
         for row in log.iter().map_err(damaged)? {
--- a/tests/state.rs
+++ b/tests/state.rs
@@ -5,11 +5,13 @@
 mod disk;
 
 use disk::{Disk, Step};
-use gullpulley::state::fresh;
-use gullpulley::state::memory::{Change, Contradiction, Entry, Identity, Memory, Promise, Snapshot};
-use gullpulley::state::record::{self, RecordFault};
-use gullpulley::state::store::{Distrust, FILE, Found, Store, StoreError, suspect};
-use gullpulley::state::writer::{Refused, Statement, Writer};
+use gullpulley::state::persisted::{
+    Change, Entry, HardState, Identity, Inconsistency, PersistedState, Snapshot,
+};
+use gullpulley::state::record::{self, RecordError};
+use gullpulley::state::rewrite;
+use gullpulley::state::store::{FILE, Found, SetAsideReason, Store, StoreError, mark_suspect};
+use gullpulley::state::writer::{Notification, SubmitError, Writer};
 use proptest::prelude::*;
 use std::sync::mpsc;
 use std::time::Duration;
@@ -29,7 +31,7 @@
     let mut batches = vec![vec![Change::Identity(identity(1))]];
     for term in 1..=6 {
         let first = term * 3 - 2;
-        batches.push(vec![Change::Promise(Promise { term, vote: Some(term % 3), commit: first - 1 })]);
+        batches.push(vec![Change::HardState(HardState { term, vote: Some(term % 3), commit: first - 1 })]);
         let entries = (0..3).map(|n| entry(term, &format!("order {n} of term {term}"))).collect();
         batches.push(vec![
             Change::Log { first, entries },
@@ -49,8 +51,8 @@
 }
 
 /// Lives the life on a disk; the memory after each batch, and how many steps the disk had taken by then.
-fn lived(disk: &Disk) -> Vec<(Memory, usize)> {
-    let (mut store, mut memory) = Store::on(disk.clone(), NAME).unwrap();
+fn lived(disk: &Disk) -> Vec<(PersistedState, usize)> {
+    let (mut store, mut memory) = Store::open_backend(disk.clone(), NAME).unwrap();
     let mut after = vec![(memory.clone(), disk.steps().len())];
     for batch in life() {
         store.commit(&batch).unwrap();
@@ -73,7 +75,7 @@
         for seed in 0..4 {
             let left = Disk::after_cut(&steps[..cut], seed);
             let (_, memory) =
-                Store::on(left, NAME).unwrap_or_else(|e| panic!("cut {cut}, seed {seed}: {e}"));
+                Store::open_backend(left, NAME).unwrap_or_else(|e| panic!("cut {cut}, seed {seed}: {e}"));
             let fits = memory == after[confirmed].0 || memory == after[under_way].0;
             assert!(fits, "cut {cut}, seed {seed}: neither batch {confirmed} nor {under_way}: {memory:?}");
             cuts += 1;
@@ -94,7 +96,7 @@
     for (at, bit) in head.chain(rest.map(|at| (at, at % 8))) {
         let mut changed = bytes.clone();
         changed[at] ^= 1 << bit;
-        match Store::on(Disk::of(changed), NAME) {
+        match Store::open_backend(Disk::of(changed), NAME) {
             Err(_) => found += 1,
             Ok((_, memory)) => {
                 assert_eq!(memory, *last, "byte {at}");
@@ -109,15 +111,15 @@
 fn after_a_failed_write_nothing_is_written_any_more() {
     for fails in [Step::Write(0, Vec::new()), Step::Sync] {
         let disk = Disk::default();
-        let (mut store, _) = Store::on(disk.clone(), NAME).unwrap();
+        let (mut store, _) = Store::open_backend(disk.clone(), NAME).unwrap();
         store.commit(&[Change::Identity(identity(1))]).unwrap();
         disk.fail(&fails);
         let next = [Change::Epoch { duty: "census".to_owned(), epoch: 1 }];
-        assert!(matches!(store.commit(&next), Err(StoreError::Failed(_))));
+        assert!(matches!(store.commit(&next), Err(StoreError::WriteFailed(_))));
         disk.mend();
         let before = disk.steps().len();
         assert!(
-            matches!(store.commit(&next), Err(StoreError::Failed(_))),
+            matches!(store.commit(&next), Err(StoreError::WriteFailed(_))),
             "not even once the disk is well"
         );
         drop(store);
@@ -128,21 +130,21 @@
 #[test]
 fn memories_that_contradict_themselves_are_told() {
     let whole = || {
-        let mut memory = Memory { identity: Some(identity(1)), ..Memory::default() };
-        memory.promise = Promise { term: 3, vote: None, commit: 4 };
+        let mut memory = PersistedState { identity: Some(identity(1)), ..PersistedState::default() };
+        memory.hard_state = HardState { term: 3, vote: None, commit: 4 };
         memory.snapshot = Snapshot { index: 2, term: 1, bytes: Vec::new() };
         memory.log = [(3, entry(2, "x")), (4, entry(2, "y")), (5, entry(3, "z"))].into();
         memory
     };
     assert_eq!(whole().check(), Ok(()));
-    type Spoil = fn(&mut Memory);
-    let cases: [(Spoil, Contradiction); 6] = [
-        (|m| drop(m.log.remove(&4)), Contradiction::Hole { missing: 4, last: 5 }),
-        (|m| drop(m.log.remove(&3)), Contradiction::Hole { missing: 3, last: 5 }),
-        (|m| m.log.get_mut(&5).unwrap().term = 1, Contradiction::Term { index: 5, term: 1, known: 2 }),
-        (|m| m.promise.term = 2, Contradiction::Term { index: 5, term: 3, known: 2 }),
-        (|m| m.promise.commit = 6, Contradiction::Commit { commit: 6, last: 5 }),
-        (|m| m.identity = None, Contradiction::Nobody),
+    type Spoil = fn(&mut PersistedState);
+    let cases: [(Spoil, Inconsistency); 6] = [
+        (|m| drop(m.log.remove(&4)), Inconsistency::Gap { missing: 4, last: 5 }),
+        (|m| drop(m.log.remove(&3)), Inconsistency::Gap { missing: 3, last: 5 }),
+        (|m| m.log.get_mut(&5).unwrap().term = 1, Inconsistency::Term { index: 5, term: 1, known: 2 }),
+        (|m| m.hard_state.term = 2, Inconsistency::Term { index: 5, term: 3, known: 2 }),
+        (|m| m.hard_state.commit = 6, Inconsistency::Commit { commit: 6, last: 5 }),
+        (|m| m.identity = None, Inconsistency::NoIdentity),
     ];
     for (spoil, told) in cases {
         let mut memory = whole();
@@ -160,7 +162,7 @@
         let mut changed = record.clone();
         changed[at.index(record.len())] ^= 1 << bit;
         for (place, record) in [("log/7", &changed), ("log/8", &record), ("log/7", &record[..at.index(record.len())].to_vec())] {
-            prop_assert!(matches!(record::open::<Entry>(place, record), Err(RecordFault::Damaged(_))));
+            prop_assert!(matches!(record::open::<Entry>(place, record), Err(RecordError::Damaged(_))));
         }
         prop_assert!(record::open::<Entry>("log/7", &record).is_ok());
     }
@@ -186,16 +188,20 @@
         let file = std::fs::OpenOptions::new().write(true).open(folder.join(FILE)).unwrap();
         file.set_len(5000).unwrap();
     };
-    type Told = fn(&Distrust) -> bool;
+    type Told = fn(&SetAsideReason) -> bool;
     let cases: [(&str, Spoil, Told); 5] = [
-        ("flipped", flip, |why| matches!(why, Distrust::Damaged(_))),
-        ("cut short", cut, |why| matches!(why, Distrust::Damaged(_))),
+        ("flipped", flip, |why| matches!(why, SetAsideReason::Damaged(_))),
+        ("cut short", cut, |why| matches!(why, SetAsideReason::Damaged(_))),
         (
             "no store at all",
             |f| std::fs::write(f.join(FILE), "not one").unwrap(),
-            |w| matches!(w, Distrust::Damaged(_)),
+            |w| matches!(w, SetAsideReason::Damaged(_)),
+        ),
+        (
+            "a sync failed",
+            |folder| mark_suspect(folder).unwrap(),
+            |why| matches!(why, SetAsideReason::Suspect),
         ),
-        ("a sync failed", |folder| suspect(folder).unwrap(), |why| matches!(why, Distrust::Suspect)),
         (
             "another's",
             |folder| {
@@ -203,7 +209,7 @@
                 let (mut store, _) = Store::open(folder, "b-7", "t").unwrap();
                 store.commit(&[Change::Identity(Identity::drawn("b-7"))]).unwrap();
             },
-            |why| matches!(why, Distrust::Foreign { .. }),
+            |why| matches!(why, SetAsideReason::Foreign { .. }),
         ),
     ];
     for (name, spoil, as_told) in cases {
@@ -236,10 +242,10 @@
     let (mut store, _) = Store::open(folder.path(), NAME, "t").unwrap();
     store.commit(&[Change::Identity(identity(1))]).unwrap();
     let taken = Store::open(folder.path(), NAME, "t").unwrap_err();
-    assert!(matches!(taken, StoreError::Taken(_)) && taken.to_string().contains(FILE), "{taken}");
+    assert!(matches!(taken, StoreError::Locked(_)) && taken.to_string().contains(FILE), "{taken}");
     drop(store);
     let (_, found) = Store::open(folder.path(), NAME, "t").unwrap();
-    assert!(matches!(found, Found::Kept(memory) if memory.identity == Some(identity(1))));
+    assert!(matches!(found, Found::State(memory) if memory.identity == Some(identity(1))));
     assert_eq!(files(folder.path()), [FILE]);
 }
 
@@ -263,7 +269,7 @@
     assert!(std::fs::read(&file).unwrap() == before && files(folder.path()) == [FILE]);
     // Nor is a mark without a file, left by a process that ended in between, held against the next file.
     std::fs::remove_file(&file).unwrap();
-    suspect(folder.path()).unwrap();
+    mark_suspect(folder.path()).unwrap();
     for _ in 0..2 {
         assert!(!matches!(Store::open(folder.path(), NAME, "t").unwrap().1, Found::SetAside(..)));
     }
@@ -276,28 +282,28 @@
     let say = move |statement| drop(says.send(statement));
     let mut writer = Writer::start(folder.path().join("deep/er"), NAME.to_owned(), say).unwrap();
     let wait = Duration::from_secs(30);
-    assert!(matches!(said.recv_timeout(wait), Ok(Statement::Opened(Found::Nothing))));
+    assert!(matches!(said.recv_timeout(wait), Ok(Notification::Opened(Found::Nothing))));
     let numbers: Vec<u64> = life().into_iter().map(|batch| writer.submit(batch).unwrap()).collect();
     let mut durable = 0;
     while durable < numbers.len() as u64 {
-        let Ok(Statement::Durable(number)) = said.recv_timeout(wait) else { panic!("after {durable}") };
+        let Ok(Notification::Durable(number)) = said.recv_timeout(wait) else { panic!("after {durable}") };
         assert!(number > durable);
         durable = number;
     }
     drop(writer);
     assert!(said.recv_timeout(wait).is_err(), "its thread ends, and says no more");
     let (_, found) = Store::open(&folder.path().join("deep/er"), NAME, "t").unwrap();
-    let mut meant = Memory::default();
+    let mut meant = PersistedState::default();
     life().into_iter().flatten().for_each(|change| meant.apply(change));
-    assert!(matches!(found, Found::Kept(memory) if memory == meant));
+    assert!(matches!(found, Found::State(memory) if memory == meant));
 
     std::fs::write(folder.path().join("file"), "").unwrap();
     let (says, said) = mpsc::channel();
     let say = move |statement| drop(says.send(statement));
     let mut writer = Writer::start(folder.path().join("file"), NAME.to_owned(), say).unwrap();
-    assert!(matches!(said.recv_timeout(wait), Ok(Statement::Over(StoreError::Unreachable(..)))));
+    assert!(matches!(said.recv_timeout(wait), Ok(Notification::Stopped(StoreError::Io(..)))));
     assert!(said.recv_timeout(wait).is_err());
-    assert_eq!(writer.submit(Vec::new()), Err(Refused::Over));
+    assert_eq!(writer.submit(Vec::new()), Err(SubmitError::Stopped));
 }
 
 /// A write that failed ended all keeping until the next start, though a disk may be full or refuse for a moment only.
@@ -306,7 +312,7 @@
     let folder = tempfile::tempdir().unwrap();
     let here = folder.path();
     let (mut old, _) = Store::open(here, NAME, "t").unwrap();
-    let mut memory = Memory::default();
+    let mut memory = PersistedState::default();
     for batch in life() {
         old.commit(&batch).unwrap();
         batch.into_iter().for_each(|change| memory.apply(change));
@@ -315,15 +321,15 @@
     std::fs::hard_link(here.join(FILE), here.join("old")).unwrap();
     // The last batch is in memory alone; what a kill left of an earlier try is in the way.
     memory.apply(Change::Epoch { duty: "guard".to_owned(), epoch: 99 });
-    suspect(here).unwrap();
-    std::fs::write(here.join(fresh::FRESH), "half").unwrap();
-    let mut store = fresh::write(here, &memory).unwrap();
+    mark_suspect(here).unwrap();
+    std::fs::write(here.join(rewrite::TEMP_FILE), "half").unwrap();
+    let mut store = rewrite::rewrite(here, &memory).unwrap();
     assert!(std::fs::read(here.join("old")).unwrap() == before, "the old file is as it was");
     store.commit(&[Change::Epoch { duty: "guard".to_owned(), epoch: 100 }]).unwrap();
     drop((old, store));
     memory.apply(Change::Epoch { duty: "guard".to_owned(), epoch: 100 });
     std::fs::remove_file(here.join("old")).unwrap();
     let (_, found) = Store::open(here, NAME, "t").unwrap();
-    assert!(matches!(found, Found::Kept(kept) if kept == memory));
+    assert!(matches!(found, Found::State(kept) if kept == memory));
     assert_eq!(files(here), [FILE]);
 }
--- a/tests/support/agreement.rs
+++ b/tests/support/agreement.rs
@@ -4,7 +4,7 @@
 #![allow(dead_code)] // each test uses a part
 
 use gullpulley::fleet::log::{Log, Outcome, Output, ProposeError, Put, Role, Settings, Status};
-use gullpulley::state::memory::{Change, Identity, Memory};
+use gullpulley::state::persisted::{Change, Identity, PersistedState};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
@@ -25,7 +25,7 @@
 pub struct Place {
     pub log: Option<Log>,
     id: u64,
-    disk: Memory,
+    disk: PersistedState,
     /// What is being written, and when it will be durable.
     writing: VecDeque<(Duration, u64, Vec<Change>)>,
     pub disk_stalled_until: Duration,
@@ -88,7 +88,7 @@
             net.places.push(Place {
                 log: None,
                 id: 0,
-                disk: Memory::default(),
+                disk: PersistedState::default(),
                 writing: VecDeque::new(),
                 disk_stalled_until: Duration::ZERO,
                 lives: 0,
@@ -123,7 +123,7 @@
         let place = &mut self.places[number];
         place.id = 1000 * self.ids + number as u64 + 1;
         let identity = Identity { folder: u128::from(place.id), name: name(number), incarnation: 1 };
-        place.disk = Memory { identity: Some(identity), ..Memory::default() };
+        place.disk = PersistedState { identity: Some(identity), ..PersistedState::default() };
     }
 
     pub fn start(&mut self, number: usize) {
