--- a/src/policy/choice.rs
+++ b/src/policy/choice.rs
@@ -63,18 +63,18 @@
         // Samples this balancer's subset, or all endpoints if too few of the subset can take the call. A
         // balancer with several times the mean load would overload its subset of a zone: beyond C calls
         // for each endpoint there, it uses the whole zone.
-        let crowds = |side: usize| {
+        let exceeds_subset = |side: usize| {
             f64::from(self.windows[side].in_flight) >= INITIAL_LIMIT * self.pools[side].len() as f64
         };
-        let first_pool = [0, 1].map(|side| if crowds(side) { 2 } else { 0 });
+        let first_pool = [0, 1].map(|side| if exceeds_subset(side) { 2 } else { 0 });
         for pool in [0, 2] {
-            let near = self.sample(now, id, pool.max(first_pool[0]));
-            let far = self.sample(now, id, pool.max(first_pool[1]) + 1);
-            if pool == 0 && near.1 + far.1 < SAMPLE_SIZE {
+            let own_zone = self.sample(now, id, pool.max(first_pool[0]));
+            let other_zones = self.sample(now, id, pool.max(first_pool[1]) + 1);
+            if pool == 0 && own_zone.1 + other_zones.1 < SAMPLE_SIZE {
                 continue;
             }
             // Prefer the own zone: the best sample of another zone must be better by a clear margin.
-            match (near.0, far.0) {
+            match (own_zone.0, other_zones.0) {
                 (Some((_, a)), Some((j, b))) if b + CROSS_ZONE_MARGIN < a => return Some(j),
                 (Some((i, _)), _) | (None, Some((i, _))) => return Some(i),
                 (None, None) => {}
--- a/src/policy/continuity.rs
+++ b/src/policy/continuity.rs
@@ -38,8 +38,8 @@
         let extended = |span: &Span| opened <= span.until && now <= span.until + MAX_ANSWER_GAP;
         let since = self.spans.iter().filter(|span| extended(span)).map(|span| span.since).min();
         self.spans.retain(|span| !extended(span));
-        let alone = opened.max(now.saturating_sub(MAX_ANSWER_GAP));
-        self.spans.push(Span { since: since.unwrap_or(alone), until: now });
+        let new_since = opened.max(now.saturating_sub(MAX_ANSWER_GAP));
+        self.spans.push(Span { since: since.unwrap_or(new_since), until: now });
         if self.spans.len() > MAX_SPANS {
             self.spans.remove(0);
         }
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -106,15 +106,15 @@
 
     /// Whether an update contains anything that is not in the current list.
     fn has_changes(&self, update: &Membership) -> bool {
-        let held = |info: &EndpointInfo| {
+        let unchanged = |info: &EndpointInfo| {
             self.index.get(&info.id).is_some_and(|&i| self.endpoints[i].info == *info)
         };
         let listed = |info: &EndpointInfo| info.state != EndpointState::Gone;
         match update {
-            Membership::Delta(entries) => !entries.iter().all(held),
+            Membership::Delta(entries) => !entries.iter().all(unchanged),
             Membership::Full(entries) => {
                 let before = self.endpoints.iter().filter(|e| listed(&e.info)).count();
-                entries.len() != before || !entries.iter().all(held)
+                entries.len() != before || !entries.iter().all(unchanged)
             }
             _ => true,
         }
--- a/src/policy/limits.rs
+++ b/src/policy/limits.rs
@@ -90,9 +90,9 @@
                 if window.ramping_up { share.min(1.0) } else { WINDOW_INCREASE * share / window.size };
         }
         window.in_flight = window.in_flight.saturating_sub(1);
-        let usual = Duration::from_secs_f64(self.latency[class].mean);
+        let mean_latency = Duration::from_secs_f64(self.latency[class].mean);
         let endpoint = &mut self.endpoints[i];
-        if late && now >= endpoint.limit_reduced_at + usual {
+        if late && now >= endpoint.limit_reduced_at + mean_latency {
             (endpoint.limit, endpoint.limit_reduced_at) =
                 ((endpoint.limit * (1.0 - LIMIT_DECREASE)).max(1.0), now);
         } else if ended.outcome == Outcome::Ok
@@ -166,11 +166,11 @@
         // The most valuable first, and of equals the newest: in overload the oldest would be answered
         // after its objective, and so would all behind it.
         let rank = |&id: &RequestId| (self.value(id), self.requests.get(&id).map(|p| p.arrived), id);
-        let mut waiting: Vec<_> = self.queued.iter().map(rank).collect();
-        waiting.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)).then(b.2.0.cmp(&a.2.0)));
-        for (_, _, id) in waiting {
+        let mut ranked: Vec<_> = self.queued.iter().map(rank).collect();
+        ranked.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.cmp(&a.1)).then(b.2.0.cmp(&a.2.0)));
+        for (_, _, id) in ranked {
             let untried = self.requests.get(&id).is_some_and(|p| p.attempts.is_empty());
-            self.queued.retain(|&held| held != id);
+            self.queued.retain(|&queued| queued != id);
             self.dispatch(now, id, out);
             // If a request found no endpoint, though all are open to it, neither will the others.
             if !self.any_room(now) || (untried && self.queued.last() == Some(&id)) {
@@ -211,8 +211,8 @@
         };
         let mut uses: Vec<f64> = (0..self.tenants.len()).map(used).collect();
         uses.sort_by(f64::total_cmp);
-        let fair = uses[(uses.len() - 1) / 2] * TENANT_SHARE_SLACK;
-        let excess = 1.0 - fair / used(tenant).max(1e-9);
+        let fair_use = uses[(uses.len() - 1) / 2] * TENANT_SHARE_SLACK;
+        let excess = 1.0 - fair_use / used(tenant).max(1e-9);
         self.rng.uniform() < excess
     }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -89,7 +89,7 @@
     served: DecayingValue,
     /// The highest recent rate, in requests a second, at which a warm endpoint served this balancer.
     warm_rate: DecayingValue,
-    /// Recent attempts that got no answer, less a part for each answer that came.
+    /// Recent attempts that got no answer, less a fraction for each answer that came.
     unanswered: DecayingValue,
     late_share: f64,
     /// Evidence that connections are dropped while idle, and the idle time from which on that is assumed.
@@ -222,12 +222,12 @@
         let listed = || self.endpoints.iter().filter(|e| e.info.state != EndpointState::Gone);
         // An endpoint at its limit is in use, not unavailable; one whose failure penalty leaves no room
         // for a single call is avoided.
-        let barred = |e: &&Endpoint| {
+        let unavailable = |e: &&Endpoint| {
             !e.is_ready() || e.failure_penalty(now) - self.common_penalty + 1.0 > e.limit.max(1.0)
         };
         BalancerStats {
             members: listed().count(),
-            unavailable: listed().filter(barred).count(),
+            unavailable: listed().filter(unavailable).count(),
             queued: self.queued.len(),
             queued_without_lease: self.queued_without_lease,
             time_without_lease: self.schedule.lease().expired_for(now),
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -136,11 +136,11 @@
     /// Whether a queued request without any attempt would be answered after its objective or deadline if
     /// it were sent now.
     pub(super) fn too_late(&self, now: Duration, pending: &Pending) -> bool {
-        let usual = Duration::from_secs_f64(self.latency[pending.class].mean);
+        let mean_latency = Duration::from_secs_f64(self.latency[pending.class].mean);
         let objective = pending.arrived + self.settings.classes[pending.class].objective;
         pending.attempts.is_empty()
             && now > pending.arrived
-            && now + usual > objective.min(pending.deadline)
+            && now + mean_latency > objective.min(pending.deadline)
     }
 
     pub(super) fn send(&mut self, now: Duration, id: RequestId, i: usize, out: &mut Vec<Action>) {
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -65,8 +65,8 @@
     ) {
         let Some(pending) = self.requests.get(&id) else { return };
         let index = number.0 as usize;
-        let (attempt, attempts) = (pending.attempts[index], pending.attempts.len());
-        if pending.settled() || attempt.state != AttemptState::InFlight || attempts > index + 1 {
+        let (attempt, attempt_count) = (pending.attempts[index], pending.attempts.len());
+        if pending.settled() || attempt.state != AttemptState::InFlight || attempt_count > index + 1 {
             return;
         }
         let overdue = self.latency[pending.class].above_mean(LOST_DEVIATIONS);
@@ -74,7 +74,7 @@
             self.record_unanswered(now, attempt);
         }
         let (limits, hedging) = (&self.settings.limits, self.settings.limits.second_copies);
-        let attempts_left = attempts < limits.max_attempts as usize;
+        let attempts_left = attempt_count < limits.max_attempts as usize;
         if !attempts_left || !self.answers_lost(now) || self.retry_tokens < 1.0 || !self.may_repeat(now, id)
         {
             return;
