--- a/src/policy/choice.rs
+++ b/src/policy/choice.rs
@@ -113,10 +113,10 @@
         let text = match self.eligibility {
             Eligibility::AllListed => "sending to all listed endpoints",
             Eligibility::NotRefusing => {
-                "list overdue: sending to endpoints that did not refuse their last call"
+                "list may be stale: sending to endpoints that did not refuse their last call"
             }
             Eligibility::RecentlyAccepting => {
-                "list overdue: sending only to endpoints that recently accepted a call"
+                "list may be stale: sending only to endpoints that recently accepted a call"
             }
             Eligibility::ContinuouslyHealthy { since: Some(_) } => {
                 "sending only to endpoints that have run without interruption and pass their health check"
