--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -2,12 +2,13 @@
 //! order in which each depends only on those before it:
 //!
 //! `abort_on_drop`, `clock`, `start_times`, `list_translator`, `budget`, `persistence`, `discovery_health`,
-//! `discovery_call`, `peers`, `counters`, `manual_ejections`, `hot_restart`: tasks, time, lists in the policy's types, limits on sockets
-//! and memory, persisted state, metrics of discovery, calls to it, the fleet, counters, suspended
-//! endpoints, other processes of this sidecar;
+//! `discovery_call`, `peers`, `counters`, `manual_ejections`, `hot_restart`: tasks, time, lists in the
+//! policy's types, limits on sockets and memory, persisted state, metrics of discovery, calls to it, the
+//! fleet, counters, suspended endpoints, other processes of this sidecar;
 //! `progress`, `streamed_body`: progress of an attempt, streamed bodies;
 //! `outbound`, `discovery`: connections to endpoints and to discovery;
-//! `log_text`, `message`, `request_state`, `driver`: turn I/O into the policy's events, and carry out its actions;
+//! `log_text`, `message`, `request_state`, `driver`: turn I/O into the policy's events, and carry out
+//! its actions;
 //! `process_phase`, `stream`, `request`, `connection_state`, `reply`, `inbound`: phase of this process,
 //! client connections, requests and answers;
 //! `control`: the admin API.
