--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -281,7 +281,7 @@
         fault(once, "", "fleet.voters", problem, "say state.dir, or name other voters");
     }
     for key in ["name", "place.zone"] {
-        if let Some(problem) = Fleet::name_fault(&once.text(key)) {
+        if let Some(problem) = Fleet::name_error(&once.text(key)) {
             fault(once, "", key, problem, "give it a shorter one");
         }
     }
--- a/src/fleet/host/log.rs
+++ b/src/fleet/host/log.rs
@@ -4,7 +4,7 @@
 //! It is a thread of its own beside the one of membership: a snapshot that is written or read must not make timers late by
 //! which others are taken for lost.
 
-use super::{DiskSays, Figures};
+use super::{DiskEvent, Stats};
 use crate::fleet::log::{Log, Output, Role, Settings, Status};
 use crate::state::persisted::{Change, PersistedState};
 use crate::state::writer::{SubmitError, Writer};
@@ -27,7 +27,7 @@
 
 /// What a process brings to the log as it joins.
 #[derive(Debug)]
-pub struct Joining {
+pub struct LogJoin {
     /// Its number: of its state folder, or drawn where it keeps nothing.
     pub id: u64,
     /// What it remembers.
@@ -36,11 +36,11 @@
     pub writer: Option<Arc<Mutex<Writer>>>,
 }
 
-impl Joining {
+impl LogJoin {
     /// One that keeps nothing follows under a number of its own.
     pub fn without_state() -> Self {
         let id = RandomState::new().build_hasher().finish().max(1);
-        Joining { id, memory: PersistedState::default(), writer: None }
+        LogJoin { id, memory: PersistedState::default(), writer: None }
     }
 }
 
@@ -49,13 +49,13 @@
 
 /// What the thread works with.
 pub(super) struct LogThread {
-    pub(super) joining: Receiver<Joining>,
+    pub(super) joining: Receiver<LogJoin>,
     /// Where others are: the newest word of membership.
     pub(super) peers: watch::Receiver<Addresses>,
     pub(super) frames: Receiver<Vec<u8>>,
-    pub(super) disk: Receiver<DiskSays>,
+    pub(super) disk: Receiver<DiskEvent>,
     pub(super) posts: mpsc::Sender<(SocketAddr, Vec<u8>)>,
-    pub(super) figures: Arc<Figures>,
+    pub(super) stats: Arc<Stats>,
     pub(super) says: watch::Sender<Option<Status>>,
 }
 
@@ -71,7 +71,7 @@
 impl LogThread {
     /// Works until the process ends, from when it joins.
     pub(super) fn work(self, settings: impl FnOnce(u64) -> Settings) {
-        let Ok(Joining { id, memory, writer }) = self.joining.recv() else { return };
+        let Ok(LogJoin { id, memory, writer }) = self.joining.recv() else { return };
         let settings = settings(id);
         if memory.last() > 0 && !self.is_trusted(&settings) {
             error!(
@@ -79,7 +79,7 @@
             );
             return;
         }
-        let mut log = match Log::new(settings, &memory, self.figures.elapsed()) {
+        let mut log = match Log::new(settings, &memory, self.stats.elapsed()) {
             Ok(log) => log,
             Err(problem) => {
                 return error!(
@@ -91,17 +91,17 @@
         let mut desk = Desk { writer, waiting: VecDeque::new(), taken: VecDeque::new() };
         let (mut out, mut disk) = (Vec::new(), self.disk.clone());
         loop {
-            let now = || self.figures.elapsed();
+            let now = || self.stats.elapsed();
             let due = log.due().saturating_sub(now());
             let wait = if desk.waiting.is_empty() { due } else { due.min(AGAIN) };
             select_biased! {
                 recv(disk) -> says => match says {
-                    Ok(DiskSays::Durable(number)) => {
+                    Ok(DiskEvent::Durable(number)) => {
                         if let Some(batch) = desk.durable(number) {
                             log.durable(now(), batch, &mut out);
                         }
                     }
-                    Ok(DiskSays::Over) => log.stop(),
+                    Ok(DiskEvent::Stopped) => log.stop(),
                     Err(_) => disk = never(), // nothing is kept here
                 },
                 recv(self.frames) -> frame => match frame {
@@ -117,7 +117,7 @@
                 match output {
                     Output::Send(to, frame) => self.post(&to, frame),
                     Output::Write(batch, changes) => desk.waiting.push_back((batch, changes)),
-                    Output::Completed(..) => {} // nobody orders yet
+                    Output::Completed(..) => {} // no orders are submitted yet
                 }
             }
             if let Some(batch) = desk.submit() {
@@ -129,16 +129,16 @@
 
     /// Another remembers a later start on this process's folder: what it promised since is forgotten.
     fn is_older(&self) -> bool {
-        self.figures.older.load(Relaxed) > 0
+        self.stats.newer_start.load(Relaxed) > 0
     }
 
     /// Waits until those that would know have told whether this process's folder is older than what they remember.
     fn is_trusted(&self, settings: &Settings) -> bool {
-        let mut since = self.figures.elapsed();
+        let mut since = self.stats.elapsed();
         while !self.is_older() {
             let peers = self.peers.borrow().clone();
             let others = settings.voters.iter().filter(|name| peers.contains_key(*name)).count();
-            let now = self.figures.elapsed();
+            let now = self.stats.elapsed();
             if (others + 1) * 2 <= settings.voters.len() {
                 since = now;
             } else if now >= since + ASKED {
@@ -151,11 +151,11 @@
 
     fn post(&self, to: &str, frame: Vec<u8>) {
         let Some(address) = self.peers.borrow().get(to).copied() else {
-            self.figures.frames_lost.fetch_add(1, Relaxed);
+            self.stats.frames_lost.fetch_add(1, Relaxed);
             return;
         };
         if self.posts.try_send((address, frame)).is_err() {
-            self.figures.frames_lost.fetch_add(1, Relaxed);
+            self.stats.frames_lost.fetch_add(1, Relaxed);
         }
     }
 
--- a/src/fleet/host/members.rs
+++ b/src/fleet/host/members.rs
@@ -1,8 +1,8 @@
-//! The thread that runs the core: datagrams, orders and the time in; datagrams, the log's lines and the view out.
+//! The thread that runs the core: datagrams, commands and the time in; datagrams, the log's lines and the view out.
 
 use super::log::Addresses;
-use super::{Figures, Order, publish};
-use crate::fleet::members::{Members, Output, Peer, Settings, Standing, Start, Statement, View};
+use super::{Command, Stats, publish};
+use crate::fleet::members::{Event, Members, Output, Peer, Settings, Standing, Start, View};
 use crossbeam_channel::{Receiver, after, never, select_biased};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -17,8 +17,8 @@
 /// What the thread works with.
 pub(super) struct MembersThread {
     pub(super) datagrams: Receiver<Vec<u8>>,
-    pub(super) ordered: Receiver<Order>,
-    pub(super) figures: Arc<Figures>,
+    pub(super) command_receiver: Receiver<Command>,
+    pub(super) stats: Arc<Stats>,
     pub(super) says: watch::Sender<Option<View>>,
     /// Where others are, for the log's thread.
     pub(super) peers: watch::Sender<Addresses>,
@@ -28,33 +28,33 @@
     /// Works until the process ends, from when the socket is there and the process is to join.
     pub(super) fn work(self, mut settings: Settings, bound: &Receiver<UdpSocket>) {
         let Ok(socket) = bound.recv() else { return };
-        match self.ordered.recv() {
-            Ok(Order::Join(start)) => {
+        match self.command_receiver.recv() {
+            Ok(Command::Join(start)) => {
                 let at = settings.me.generation;
                 settings.me.start = start.map(|(folder, number)| Start { folder, number, at });
             }
-            Ok(Order::Leave) | Err(_) => return, // it ends before it was there
+            Ok(Command::Leave) | Err(_) => return, // it ends before it was there
         }
         if let Err(e) = socket.set_write_timeout(Some(SEND_MOST)) {
             warn!("fleet: a slow socket may hold up the fleet's thread: {e}");
         }
         let me = settings.me.clone();
         info!(cluster = settings.cluster, address = %me.address, "fleet: {} joins {}", me.name, settings.cluster);
-        let clock = self.figures.clone();
+        let clock = self.stats.clone();
         let (mut members, mut out) = (Members::new(settings, clock.elapsed()), Vec::new());
         let mut leaving = false;
         loop {
             let wait = members.due().saturating_sub(clock.elapsed());
-            let ordered = if leaving { never() } else { self.ordered.clone() };
+            let command_receiver = if leaving { never() } else { self.command_receiver.clone() };
             // What came is heard before a timer that is due may say that it never did.
             select_biased! {
-                recv(ordered) -> order => match order {
-                    Ok(Order::Leave) => {
+                recv(command_receiver) -> command => match command {
+                    Ok(Command::Leave) => {
                         info!("fleet: {} leaves", me.name);
                         members.leave(clock.elapsed(), &mut out);
                         leaving = true;
                     }
-                    Ok(Order::Join(_)) => {} // it has joined
+                    Ok(Command::Join(_)) => {} // it has joined
                     Err(_) => return, // the process ends
                 },
                 recv(self.datagrams) -> datagram => {
@@ -66,51 +66,51 @@
             for output in out.drain(..) {
                 match output {
                     Output::Send(to, datagram) => self.send(&socket, to, &datagram),
-                    Output::Says(statement) => self.say(statement),
+                    Output::Event(statement) => self.say(statement),
                 }
             }
-            publish(&self.figures, &members.counts());
-            self.figures.turn();
+            publish(&self.stats, &members.counts());
+            self.stats.turn();
         }
     }
 
     fn send(&self, socket: &UdpSocket, to: SocketAddr, datagram: &[u8]) {
         match socket.send_to(datagram, to) {
             Ok(size) => {
-                self.figures.went[0].fetch_add(1, Relaxed);
-                self.figures.went[1].fetch_add(size as u64, Relaxed);
+                self.stats.sent[0].fetch_add(1, Relaxed);
+                self.stats.sent[1].fetch_add(size as u64, Relaxed);
             }
-            Err(_) => drop(self.figures.unsent.fetch_add(1, Relaxed)),
+            Err(_) => drop(self.stats.send_errors.fetch_add(1, Relaxed)),
         }
     }
 
-    fn say(&self, statement: Statement) {
+    fn say(&self, statement: Event) {
         match statement {
-            Statement::Joined(peer) => {
+            Event::Joined(peer) => {
                 self.peers.send_modify(|peers| {
                     Arc::make_mut(peers).insert(peer.name.clone(), peer.address);
                 });
                 let Peer { name, address, zone, .. } = &peer;
                 info!(peer = name, zone, "fleet: {name} ({address}) is here");
             }
-            Statement::Left(peer) => {
+            Event::Left(peer) => {
                 self.peers.send_modify(|peers| {
                     Arc::make_mut(peers).remove(&peer.name);
                 });
                 info!(peer = peer.name, "fleet: {} has left", peer.name);
             }
-            Statement::Lost(Peer { name, address, zone, .. }) => {
+            Event::Lost(Peer { name, address, zone, .. }) => {
                 warn!(peer = name, zone, "fleet: {name} ({address}) is lost");
             }
-            Statement::Returned(peer) => {
+            Event::Returned(peer) => {
                 warn!(
                     "fleet: the others took this process for gone; it is back as generation {}",
                     peer.generation
                 );
             }
-            Statement::Older(latest) => {
+            Event::NewerStartSeen(latest) => {
                 let (number, at) = (latest.number, Duration::from_millis(latest.at));
-                self.figures.older.store(number, Relaxed);
+                self.stats.newer_start.store(number, Relaxed);
                 let at = humantime::format_rfc3339_seconds(UNIX_EPOCH + at);
                 error!(
                     number,
@@ -118,7 +118,7 @@
                      what it says of before can't be trusted"
                 );
             }
-            Statement::View(view) => {
+            Event::View(view) => {
                 let before = self.says.borrow().clone();
                 tell(before.as_ref(), &view);
                 self.says.send_replace(Some(view));
@@ -129,7 +129,11 @@
 
 /// What of a view is worth a line: how it stands, and names that stand twice.
 fn tell(before: Option<&View>, view: &View) {
-    for name in view.twice.iter().filter(|name| before.is_none_or(|before| !before.twice.contains(name))) {
+    for name in view
+        .duplicate_names
+        .iter()
+        .filter(|name| before.is_none_or(|before| !before.duplicate_names.contains(name)))
+    {
         error!(
             name,
             "fleet: two processes here are named {name}: both count, and both serve; name one of them anew"
--- a/src/fleet/host/mod.rs
+++ b/src/fleet/host/mod.rs
@@ -8,11 +8,11 @@
 mod members;
 mod streams;
 
-pub use log::Joining;
-pub use streams::PEER_DEPTH;
+pub use log::LogJoin;
+pub use streams::PEER_FRAME_CAPACITY;
 
 use crate::fleet::log as core;
-use crate::fleet::members::{Counts, NAME_MOST, Peer, Settings, View};
+use crate::fleet::members::{Counts, MAX_NAME_BYTES, Peer, Settings, View};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
@@ -25,13 +25,13 @@
 use tokio::sync::{mpsc, watch};
 
 /// Datagrams that may wait for the core.
-pub const DEPTH: usize = 1024;
+pub const DATAGRAM_CAPACITY: usize = 1024;
 /// Orders that may.
-pub const ORDERS: usize = 4;
+pub const COMMAND_CAPACITY: usize = 4;
 /// Frames that may wait for the log's core, and frames of its that may wait to be carried.
-pub const FRAMES: usize = 256;
+pub const FRAME_CAPACITY: usize = 256;
 /// Statements of the disk that may wait for the log's core.
-pub const DISK_DEPTH: usize = 64;
+pub const DISK_EVENT_CAPACITY: usize = 64;
 
 /// A process's place in its fleet, as its configuration says it.
 #[derive(Clone, Debug, PartialEq)]
@@ -52,18 +52,18 @@
 
 /// What the disk says to the log's core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DiskSays {
+pub enum DiskEvent {
     /// All batches up to this number of the writer's are durable.
     Durable(u64),
     /// Nothing is kept any more.
-    Over,
+    Stopped,
 }
 
 impl Config {
     /// What is wrong with a name that others would have to carry; none where nothing is.
-    pub fn name_fault(name: &str) -> Option<String> {
-        let long = name.len() > NAME_MOST;
-        long.then(|| format!("{} bytes are too many for a fleet; it takes {NAME_MOST}", name.len()))
+    pub fn name_error(name: &str) -> Option<String> {
+        let long = name.len() > MAX_NAME_BYTES;
+        long.then(|| format!("{} bytes are too many for a fleet; it takes {MAX_NAME_BYTES}", name.len()))
     }
 
     /// The log's settings for the process that turns out to have this number.
@@ -100,40 +100,52 @@
 
 /// What the threads count; all of it may be read at any time.
 #[derive(Debug)]
-pub struct Figures {
+pub struct Stats {
     began: Instant,
     /// Datagrams that came, and their bytes.
-    pub came: [AtomicU64; 2],
+    pub received: [AtomicU64; 2],
     /// Datagrams that went, and their bytes.
-    pub went: [AtomicU64; 2],
+    pub sent: [AtomicU64; 2],
     /// Datagrams that the system did not take.
-    pub unsent: AtomicU64,
-    /// Datagrams dropped, by [`Figures::REASONS`].
+    pub send_errors: AtomicU64,
+    /// Datagrams dropped, by [`Stats::REASONS`].
     pub dropped: [AtomicU64; 6],
     /// Times that the process had stood still.
-    pub stood: AtomicU64,
+    pub stalls: AtomicU64,
     /// Orders not taken.
-    pub refused: AtomicU64,
+    pub commands_refused: AtomicU64,
     /// Frames of the log that came, and that went.
     pub frames: [AtomicU64; 2],
     /// Frames that were not delivered, or not heard as too many waited.
     pub frames_lost: AtomicU64,
     /// The number of the later start that another remembers of this process's state folder; 0 where none does.
-    pub older: AtomicU64,
+    pub newer_start: AtomicU64,
     /// Microseconds after the start at which the core last had a turn.
     turn_us: AtomicU64,
 }
 
-impl Figures {
+impl Stats {
     /// Why datagrams are dropped, in the order of the counts.
     pub const REASONS: [&str; 6] = ["torn", "foreign", "newer", "old", "senseless", "full"];
     const FULL: usize = 5;
 
     fn new() -> Self {
-        let (came, went, unsent, dropped, stood, refused) = Default::default();
-        let (frames, frames_lost, older, turn_us) = Default::default();
+        let (received, sent, send_errors, dropped, stalls, commands_refused) = Default::default();
+        let (frames, frames_lost, newer_start, turn_us) = Default::default();
         let began = Instant::now();
-        Figures { began, came, went, unsent, dropped, stood, refused, frames, frames_lost, older, turn_us }
+        Stats {
+            began,
+            received,
+            sent,
+            send_errors,
+            dropped,
+            stalls,
+            commands_refused,
+            frames,
+            frames_lost,
+            newer_start,
+            turn_us,
+        }
     }
 
     fn turn(&self) {
@@ -152,8 +164,8 @@
     }
 }
 
-/// An order to the core.
-enum Order {
+/// A command for the core.
+enum Command {
     /// To join, with its state folder and the number of its start there, where it keeps a state.
     Join(Option<(u128, u64)>),
     Leave,
@@ -162,12 +174,12 @@
 /// The threads of a process in a fleet. They end with the process.
 #[derive(Debug)]
 pub struct Fleet {
-    orders: Sender<Order>,
+    commands: Sender<Command>,
     datagrams: Receiver<Vec<u8>>,
-    figures: Arc<Figures>,
+    stats: Arc<Stats>,
     view: watch::Receiver<Option<View>>,
     /// What the process brings to the log, where there is one.
-    joining: Option<Sender<Joining>>,
+    joining: Option<Sender<LogJoin>>,
     log: watch::Receiver<Option<core::Status>>,
 }
 
@@ -179,11 +191,11 @@
         name: &str,
         zone: &str,
         balancers: u32,
-        disk: Receiver<DiskSays>,
+        disk: Receiver<DiskEvent>,
     ) -> io::Result<Self> {
-        let (orders, ordered) = bounded(ORDERS);
-        let (came, datagrams) = bounded(DEPTH);
-        let figures = Arc::new(Figures::new());
+        let (commands, command_receiver) = bounded(COMMAND_CAPACITY);
+        let (came, datagrams) = bounded(DATAGRAM_CAPACITY);
+        let stats = Arc::new(Stats::new());
         let (says, view) = watch::channel(None);
         let settings = config.settings(name, zone, balancers);
         let (bound, taken) = bounded(1);
@@ -193,14 +205,14 @@
             true => None,
             false => {
                 let (joining, joined) = bounded(1);
-                let (frames, posts) = carry(config.listen, &figures)?;
+                let (frames, posts) = carry(config.listen, &stats)?;
                 let thread = log::LogThread {
                     joining: joined,
                     peers,
                     frames,
                     disk,
                     posts,
-                    figures: figures.clone(),
+                    stats: stats.clone(),
                     says: says_log,
                 };
                 let settings = config.log_settings(name);
@@ -208,27 +220,27 @@
                 Some(joining)
             }
         };
-        let counts = figures.clone();
+        let counts = stats.clone();
         thread::Builder::new()
             .name("fleet-datagrams".to_owned())
             .spawn(move || datagrams::work(config.listen, &bound, &came, &counts))?;
         let core = members::MembersThread {
             datagrams: datagrams.clone(),
-            ordered,
-            figures: figures.clone(),
+            command_receiver,
+            stats: stats.clone(),
             says,
             peers: addresses,
         };
         thread::Builder::new()
             .name("fleet-members".to_owned())
             .spawn(move || core.work(settings, &taken))?;
-        Ok(Fleet { orders, datagrams, figures, view, joining, log })
+        Ok(Fleet { commands, datagrams, stats, view, joining, log })
     }
 
     /// Joins; to be called once, as soon as the state folder, where there is one, has this start durable: which folder,
     /// and the start's number there, and what it brings to the log. Never waits.
-    pub fn join(&self, start: Option<(u128, u64)>, joining: Option<Joining>) {
-        self.order(Order::Join(start));
+    pub fn join(&self, start: Option<(u128, u64)>, joining: Option<LogJoin>) {
+        self.command(Command::Join(start));
         if let (Some(joined), Some(joining)) = (&self.joining, joining) {
             let _ = joined.try_send(joining); // fails only for a second one
         }
@@ -236,12 +248,12 @@
 
     /// Tells the others that this process leaves. Never waits; not taken where the core is stuck.
     pub fn leave(&self) {
-        self.order(Order::Leave);
+        self.command(Command::Leave);
     }
 
-    fn order(&self, order: Order) {
-        if self.orders.try_send(order).is_err() {
-            self.figures.refused.fetch_add(1, Relaxed);
+    fn command(&self, command: Command) {
+        if self.commands.try_send(command).is_err() {
+            self.stats.commands_refused.fetch_add(1, Relaxed);
         }
     }
 
@@ -256,8 +268,8 @@
     }
 
     /// What is counted.
-    pub fn figures(&self) -> &Figures {
-        &self.figures
+    pub fn stats(&self) -> &Stats {
+        &self.stats
     }
 
     /// Datagrams that wait for the core.
@@ -269,22 +281,22 @@
 /// Starts the thread of the log's frames: those that come, and where those that go are posted.
 fn carry(
     listen: SocketAddr,
-    figures: &Arc<Figures>,
+    stats: &Arc<Stats>,
 ) -> io::Result<(Receiver<Vec<u8>>, mpsc::Sender<streams::Posted>)> {
-    let (came, frames) = bounded(FRAMES);
-    let (posts, posted) = mpsc::channel(FRAMES);
-    let figures = figures.clone();
+    let (came, frames) = bounded(FRAME_CAPACITY);
+    let (posts, posted) = mpsc::channel(FRAME_CAPACITY);
+    let stats = stats.clone();
     thread::Builder::new()
         .name("fleet-streams".to_owned())
-        .spawn(move || streams::work(listen, posted, &came, &figures))?;
+        .spawn(move || streams::work(listen, posted, &came, &stats))?;
     Ok((frames, posts))
 }
 
 /// Counts as the core has them, for all to read.
-fn publish(figures: &Figures, counts: &Counts) {
-    let Counts { torn, foreign, newer, old, senseless, stood } = *counts;
-    for (at, count) in [torn, foreign, newer, old, senseless].into_iter().enumerate() {
-        figures.dropped[at].store(count, Relaxed);
+fn publish(stats: &Stats, counts: &Counts) {
+    let Counts { corrupt, foreign, newer, old, malformed, stalls } = *counts;
+    for (at, count) in [corrupt, foreign, newer, old, malformed].into_iter().enumerate() {
+        stats.dropped[at].store(count, Relaxed);
     }
-    figures.stood.store(stood, Relaxed);
+    stats.stalls.store(stalls, Relaxed);
 }
--- a/src/fleet/host/streams.rs
+++ b/src/fleet/host/streams.rs
@@ -1,7 +1,7 @@
 //! The thread that carries the log's frames, over connections that each go one way: who has something to say connects.
 //! A peer that does not read holds up what is for it, and nothing else.
 
-use super::Figures;
+use super::Stats;
 use crate::TcpConnection;
 use crate::fleet::log::MAX_FRAME_BYTES;
 use crossbeam_channel::{Sender, TrySendError};
@@ -24,7 +24,7 @@
 use tracing::warn;
 
 /// Frames that may wait for one peer: at more the newest is dropped, as any may be lost on its way.
-pub const PEER_DEPTH: usize = 64;
+pub const PEER_FRAME_CAPACITY: usize = 64;
 /// Connections taken at most.
 const TAKEN_MOST: usize = 2048;
 /// A connection that is not up by then has failed, and what waits for it is dropped: it is said again.
@@ -46,15 +46,15 @@
     listen: SocketAddr,
     posted: mpsc::Receiver<Posted>,
     came: &Sender<Vec<u8>>,
-    figures: &Arc<Figures>,
+    stats: &Arc<Stats>,
 ) {
     let runtime = match Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => return warn!("fleet: {e}; this process has no part in the log"),
     };
     LocalSet::new().block_on(&runtime, async {
-        spawn_local(take(listen, came.clone(), figures.clone()));
-        post(listen, posted, figures).await;
+        spawn_local(take(listen, came.clone(), stats.clone()));
+        post(listen, posted, stats).await;
     });
 }
 
@@ -63,7 +63,7 @@
 }
 
 /// Takes connections, and the frames that come over them.
-async fn take(listen: SocketAddr, came: Sender<Vec<u8>>, figures: Arc<Figures>) {
+async fn take(listen: SocketAddr, came: Sender<Vec<u8>>, stats: Arc<Stats>) {
     let listener = bind(listen).await;
     let taken = Rc::new(Cell::new(0));
     loop {
@@ -75,14 +75,14 @@
             continue; // dropped
         }
         taken.set(taken.get() + 1);
-        let (taken, came, figures) = (taken.clone(), came.clone(), figures.clone());
+        let (taken, came, stats) = (taken.clone(), came.clone(), stats.clone());
         spawn_local(async move {
             let mut frames = FramedRead::new(TcpConnection::new(stream), codec());
             // A frame that is too long, or cut short, ends its connection.
             while let Ok(Some(Ok(frame))) = timeout(IDLE, frames.next()).await {
-                figures.frames[0].fetch_add(1, Relaxed);
+                stats.frames[0].fetch_add(1, Relaxed);
                 if let Err(TrySendError::Full(_)) = came.try_send(frame.to_vec()) {
-                    figures.frames_lost.fetch_add(1, Relaxed);
+                    stats.frames_lost.fetch_add(1, Relaxed);
                 }
             }
             taken.set(taken.get() - 1);
@@ -116,47 +116,42 @@
 }
 
 /// Hands each frame to the task of its peer.
-async fn post(own: SocketAddr, mut posted: mpsc::Receiver<Posted>, figures: &Arc<Figures>) {
+async fn post(own: SocketAddr, mut posted: mpsc::Receiver<Posted>, stats: &Arc<Stats>) {
     let mut peers: HashMap<SocketAddr, mpsc::Sender<Vec<u8>>> = HashMap::new();
     while let Some((to, frame)) = posted.recv().await {
-        let peer = peers.entry(to).or_insert_with(|| begin(own, to, figures));
+        let peer = peers.entry(to).or_insert_with(|| begin(own, to, stats));
         match peer.try_send(frame) {
             Ok(()) => {}
-            Err(Unqueued::Full(_)) => drop(figures.frames_lost.fetch_add(1, Relaxed)),
+            Err(Unqueued::Full(_)) => drop(stats.frames_lost.fetch_add(1, Relaxed)),
             // Its task has ended as nothing was said for long.
             Err(Unqueued::Closed(frame)) => {
                 peers.retain(|_, peer| !peer.is_closed());
-                let peer = peers.entry(to).or_insert_with(|| begin(own, to, figures));
+                let peer = peers.entry(to).or_insert_with(|| begin(own, to, stats));
                 let _ = peer.try_send(frame); // it is empty
             }
         }
     }
 }
 
-fn begin(own: SocketAddr, to: SocketAddr, figures: &Arc<Figures>) -> mpsc::Sender<Vec<u8>> {
-    let (frames, waiting) = mpsc::channel(PEER_DEPTH);
-    spawn_local(deliver(own, to, waiting, figures.clone()));
+fn begin(own: SocketAddr, to: SocketAddr, stats: &Arc<Stats>) -> mpsc::Sender<Vec<u8>> {
+    let (frames, waiting) = mpsc::channel(PEER_FRAME_CAPACITY);
+    spawn_local(deliver(own, to, waiting, stats.clone()));
     frames
 }
 
 /// Delivers to one peer until nothing has been for it for long.
-async fn deliver(
-    own: SocketAddr,
-    to: SocketAddr,
-    mut waiting: mpsc::Receiver<Vec<u8>>,
-    figures: Arc<Figures>,
-) {
+async fn deliver(own: SocketAddr, to: SocketAddr, mut waiting: mpsc::Receiver<Vec<u8>>, stats: Arc<Stats>) {
     while let Ok(Some(first)) = timeout(IDLE, waiting.recv()).await {
         let Ok(Ok(stream)) = timeout(CONNECT, connect(own, to)).await else {
-            figures.frames_lost.fetch_add(1, Relaxed);
+            stats.frames_lost.fetch_add(1, Relaxed);
             sleep(PAUSE).await;
             continue;
         };
         let (mut frames, mut next) = (FramedWrite::new(TcpConnection::new(stream), codec()), Some(first));
         while let Some(frame) = next {
-            figures.frames[1].fetch_add(1, Relaxed);
+            stats.frames[1].fetch_add(1, Relaxed);
             if !matches!(timeout(WRITE, frames.send(Bytes::from(frame))).await, Ok(Ok(()))) {
-                figures.frames_lost.fetch_add(1, Relaxed);
+                stats.frames_lost.fetch_add(1, Relaxed);
                 break;
             }
             next = timeout(IDLE, waiting.recv()).await.ok().flatten();
--- a/src/fleet/members/datagram.rs
+++ b/src/fleet/members/datagram.rs
@@ -18,7 +18,7 @@
 use thiserror::Error;
 
 /// The longest datagram: it passes any ordinary network in one piece.
-pub const DATAGRAM_MOST: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// Bytes of the frame before foca's own.
 pub(super) const HEAD: usize = 25;
 /// The form of datagrams that this build speaks.
@@ -30,10 +30,10 @@
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Dropped {
+pub enum DropReason {
     /// Not what was sent: cut short or changed.
     #[error("torn")]
-    Torn,
+    Corrupt,
     /// From another cluster, or no datagram of a fleet at all.
     #[error("of another cluster")]
     Foreign,
@@ -45,7 +45,7 @@
     Old,
     /// Whole, but it says nothing that it could.
     #[error("senseless")]
-    Senseless,
+    Malformed,
 }
 
 /// Seals what goes out, and opens what comes in.
@@ -81,22 +81,26 @@
     }
 
     /// What foca said, where it is to be heard.
-    pub(super) fn open<'a>(&mut self, now: Duration, datagram: &'a [u8]) -> Result<&'a [u8], Dropped> {
-        let (told, sealed) = datagram.split_first_chunk::<4>().ok_or(Dropped::Torn)?;
-        let (version, rest) = sealed.split_first().ok_or(Dropped::Torn)?;
-        let (cluster, rest) = rest.split_first_chunk::<4>().ok_or(Dropped::Torn)?;
-        let (life, rest) = rest.split_first_chunk::<8>().ok_or(Dropped::Torn)?;
-        let (number, content) = rest.split_first_chunk::<8>().ok_or(Dropped::Torn)?;
+    pub(super) fn open<'a>(&mut self, now: Duration, datagram: &'a [u8]) -> Result<&'a [u8], DropReason> {
+        let (told, sealed) = datagram.split_first_chunk::<4>().ok_or(DropReason::Corrupt)?;
+        let (version, rest) = sealed.split_first().ok_or(DropReason::Corrupt)?;
+        let (cluster, rest) = rest.split_first_chunk::<4>().ok_or(DropReason::Corrupt)?;
+        let (life, rest) = rest.split_first_chunk::<8>().ok_or(DropReason::Corrupt)?;
+        let (number, content) = rest.split_first_chunk::<8>().ok_or(DropReason::Corrupt)?;
         let ours = u32::from_le_bytes(*cluster) == crc32fast::hash(self.cluster.as_bytes());
         if checksum(&self.cluster, sealed) != u32::from_le_bytes(*told) {
             // Another cluster's has another sum: it tells itself by the name's, where that came whole.
-            return Err(if ours { Dropped::Torn } else { Dropped::Foreign });
+            return Err(if ours { DropReason::Corrupt } else { DropReason::Foreign });
         }
         if *version > VERSION {
-            return Err(Dropped::Newer);
+            return Err(DropReason::Newer);
         }
         let (life, number) = (u64::from_le_bytes(*life), u64::from_le_bytes(*number));
-        if life == self.life || !self.is_new(now, life, number) { Err(Dropped::Old) } else { Ok(content) }
+        if life == self.life || !self.is_new(now, life, number) {
+            Err(DropReason::Old)
+        } else {
+            Ok(content)
+        }
     }
 
     fn is_new(&mut self, now: Duration, life: u64, number: u64) -> bool {
--- a/src/fleet/members/mod.rs
+++ b/src/fleet/members/mod.rs
@@ -10,7 +10,7 @@
 mod starts;
 mod swim;
 
-pub use datagram::{DATAGRAM_MOST, Dropped};
-pub use peer::{NAME_MOST, Peer, Start};
+pub use datagram::{DropReason, MAX_DATAGRAM_BYTES};
+pub use peer::{MAX_NAME_BYTES, Peer, Start};
 pub use roster::{Standing, View};
-pub use swim::{Counts, Members, Output, Settings, Statement};
+pub use swim::{Counts, Event, Members, Output, Settings};
--- a/src/fleet/members/peer.rs
+++ b/src/fleet/members/peer.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 /// Bytes of a process's name and of its zone's, each: two of them and what is told of others fit a datagram.
-pub const NAME_MOST: usize = 120;
+pub const MAX_NAME_BYTES: usize = 120;
 /// A process that its peers believe to be an older one gains on them by doubling steps; these are enough for any clock.
 const STEPS_MOST: u8 = 48;
 
--- a/src/fleet/members/roster.rs
+++ b/src/fleet/members/roster.rs
@@ -58,7 +58,7 @@
     /// Names of some that are away; there are `known - living`.
     pub away: Vec<String>,
     /// Names that two processes here have.
-    pub twice: Vec<String>,
+    pub duplicate_names: Vec<String>,
 }
 
 /// What became of a process.
@@ -76,7 +76,7 @@
     /// As many as there should be, before they are heard of.
     expected: usize,
     others: BTreeMap<SocketAddr, Entry>,
-    twice: Vec<String>,
+    duplicate_names: Vec<String>,
     look: u64,
     suspects: usize,
     changed: Duration,
@@ -94,13 +94,13 @@
 impl Roster {
     pub(super) fn new(me: Peer, expected: usize, now: Duration) -> Self {
         let standing = if expected > 1 { Standing::Converging } else { Standing::Converged };
-        let (others, twice, look, suspects) = Default::default();
+        let (others, duplicate_names, look, suspects) = Default::default();
         Roster {
             me,
             began: now,
             expected,
             others,
-            twice,
+            duplicate_names,
             look,
             suspects,
             changed: now,
@@ -150,7 +150,7 @@
             !entry.peer.leaving
         });
         if !changes.is_empty() {
-            self.twice = self.names_twice();
+            self.duplicate_names = self.names_twice();
         }
         if !changes.is_empty() || suspects > self.suspects {
             self.changed = now;
@@ -195,9 +195,9 @@
         let mut names: Vec<&str> = here.chain([&self.me]).map(|peer| peer.name.as_str()).collect();
         names.sort_unstable();
         let pairs = names.windows(2).filter(|pair| pair[0] == pair[1]);
-        let mut twice: Vec<String> = pairs.map(|pair| pair[0].to_owned()).collect();
-        twice.dedup();
-        twice
+        let mut duplicate_names: Vec<String> = pairs.map(|pair| pair[0].to_owned()).collect();
+        duplicate_names.dedup();
+        duplicate_names
     }
 
     pub(super) fn view(&self) -> View {
@@ -211,7 +211,7 @@
             known,
             balancers: if self.is_majority() { living } else { known },
             away: away.take(NAMED).collect(),
-            twice: self.twice.clone(),
+            duplicate_names: self.duplicate_names.clone(),
         }
     }
 }
--- a/src/fleet/members/swim.rs
+++ b/src/fleet/members/swim.rs
@@ -1,7 +1,7 @@
 //! The crate's core with its timers, and the pages by which two that know different ones come together, on a clock that
 //! stands while the process does: one that was stopped must not accuse everybody else of the silence.
 
-use super::datagram::{DATAGRAM_MOST, Dropped, Frames, HEAD};
+use super::datagram::{DropReason, Frames, HEAD, MAX_DATAGRAM_BYTES};
 use super::peer::{Peer, Start};
 use super::roster::{Change, Roster, View};
 use super::starts::{Starts, contradicts};
@@ -65,12 +65,12 @@
     /// This is to be sent there.
     Send(SocketAddr, Vec<u8>),
     /// This is so.
-    Says(Statement),
+    Event(Event),
 }
 
 /// What has become known.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Statement {
+pub enum Event {
     /// A process is here.
     Joined(Peer),
     /// It has said that it leaves.
@@ -80,7 +80,7 @@
     /// The others took this process for gone; it has come back under a later generation.
     Returned(Peer),
     /// The state folder of this process is older than what another remembers of it, or a copy: it saw this start there.
-    Older(Start),
+    NewerStartSeen(Start),
     /// How things are, where that differs from before.
     View(View),
 }
@@ -88,18 +88,18 @@
 /// Datagrams dropped, by reason, and how often this process stood still.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// See [`Dropped::Torn`].
-    pub torn: u64,
-    /// See [`Dropped::Foreign`].
+    /// See [`DropReason::Corrupt`].
+    pub corrupt: u64,
+    /// See [`DropReason::Foreign`].
     pub foreign: u64,
-    /// See [`Dropped::Newer`].
+    /// See [`DropReason::Newer`].
     pub newer: u64,
-    /// See [`Dropped::Old`].
+    /// See [`DropReason::Old`].
     pub old: u64,
-    /// See [`Dropped::Senseless`].
-    pub senseless: u64,
+    /// See [`DropReason::Malformed`].
+    pub malformed: u64,
     /// Times that timers came late, as the process had stood still.
-    pub stood: u64,
+    pub stalls: u64,
 }
 
 type Swim = Foca<Peer, PostcardCodec, Pcg32, NoCustomBroadcast>;
@@ -181,11 +181,11 @@
         let heard = self.frames.open(now, datagram);
         if let Err(dropped) = heard.and_then(|content| self.hear(now, content, out)) {
             let count = match dropped {
-                Dropped::Torn => &mut self.counts.torn,
-                Dropped::Foreign => &mut self.counts.foreign,
-                Dropped::Newer => &mut self.counts.newer,
-                Dropped::Old => &mut self.counts.old,
-                Dropped::Senseless => &mut self.counts.senseless,
+                DropReason::Corrupt => &mut self.counts.corrupt,
+                DropReason::Foreign => &mut self.counts.foreign,
+                DropReason::Newer => &mut self.counts.newer,
+                DropReason::Old => &mut self.counts.old,
+                DropReason::Malformed => &mut self.counts.malformed,
             };
             *count += 1;
         }
@@ -238,12 +238,12 @@
         self.counts
     }
 
-    fn hear(&mut self, now: Duration, content: &[u8], out: &mut Vec<Output>) -> Result<(), Dropped> {
-        let (kind, rest) = content.split_first().ok_or(Dropped::Senseless)?;
+    fn hear(&mut self, now: Duration, content: &[u8], out: &mut Vec<Output>) -> Result<(), DropReason> {
+        let (kind, rest) = content.split_first().ok_or(DropReason::Malformed)?;
         match *kind {
             SWIM => {
                 // What the frame let through and the crate refuses says nothing, or is our own.
-                self.swim.handle_data(rest, &mut self.runtime).map_err(|_| Dropped::Senseless)
+                self.swim.handle_data(rest, &mut self.runtime).map_err(|_| DropReason::Malformed)
             }
             ASK => {
                 let (asker, sum, start) = read::<(SocketAddr, u64, Option<Start>)>(rest)?;
@@ -258,25 +258,25 @@
             PAGE => {
                 let (mut members, mut rest) = (Vec::new(), rest);
                 while !rest.is_empty() {
-                    let (member, more) =
-                        postcard::take_from_bytes::<Member<Peer>>(rest).map_err(|_| Dropped::Senseless)?;
+                    let (member, more) = postcard::take_from_bytes::<Member<Peer>>(rest)
+                        .map_err(|_| DropReason::Malformed)?;
                     members.push(member);
                     rest = more;
                 }
                 // Nobody else need hear of it from here: each asks for itself.
                 let told = self.swim.apply_many(members.into_iter(), false, &mut self.runtime);
-                told.map_err(|_| Dropped::Senseless)
+                told.map_err(|_| DropReason::Malformed)
             }
             OLDER => {
                 let latest = read::<Start>(rest)?;
                 let mine = self.settings.me.start.is_some_and(|start| contradicts(start, latest));
                 if mine && self.older.is_none_or(|older| older.number < latest.number) {
                     self.older = Some(latest);
-                    out.push(Output::Says(Statement::Older(latest)));
+                    out.push(Output::Event(Event::NewerStartSeen(latest)));
                 }
                 Ok(())
             }
-            _ => Err(Dropped::Senseless),
+            _ => Err(DropReason::Malformed),
         }
     }
 
@@ -298,7 +298,7 @@
         let mut page = vec![PAGE];
         for member in all.iter().cycle().skip(first).take(all.len()) {
             let told = postcard::to_stdvec(*member).unwrap_or_default(); // as above
-            if page.len() + told.len() > DATAGRAM_MOST - HEAD {
+            if page.len() + told.len() > MAX_DATAGRAM_BYTES - HEAD {
                 if self.pages == 0 {
                     return;
                 }
@@ -323,7 +323,7 @@
         let due = self.due();
         let late = now.saturating_sub(due);
         if late > self.settings.round_trip * STOOD {
-            self.counts.stood += 1;
+            self.counts.stalls += 1;
             self.stood += late;
             (self.look_at, self.seeds_at) = (self.look_at.max(now), self.seeds_at.max(now));
         }
@@ -353,10 +353,10 @@
             self.compare();
         }
         for change in changes {
-            out.push(Output::Says(match change {
-                Change::Joined(peer) => Statement::Joined(peer),
-                Change::Left(peer) => Statement::Left(peer),
-                Change::Lost(peer) => Statement::Lost(peer),
+            out.push(Output::Event(match change {
+                Change::Joined(peer) => Event::Joined(peer),
+                Change::Left(peer) => Event::Left(peer),
+                Change::Lost(peer) => Event::Lost(peer),
             }));
         }
         let view = self.roster.view();
@@ -366,7 +366,7 @@
         }
         if self.said.as_ref() != Some(&view) {
             self.said = Some(view.clone());
-            out.push(Output::Says(Statement::View(view)));
+            out.push(Output::Event(Event::View(view)));
         }
     }
 
@@ -404,7 +404,7 @@
         }
         while let Some(notification) = self.runtime.to_notify() {
             match notification {
-                foca::OwnedNotification::Rejoin(peer) => out.push(Output::Says(Statement::Returned(peer))),
+                foca::OwnedNotification::Rejoin(peer) => out.push(Output::Event(Event::Returned(peer))),
                 // Who is here is looked at again at once.
                 _ => self.look_at = self.look_at.min(now),
             }
@@ -419,8 +419,8 @@
     content
 }
 
-fn read<T: DeserializeOwned>(content: &[u8]) -> Result<T, Dropped> {
-    postcard::from_bytes(content).map_err(|_| Dropped::Senseless)
+fn read<T: DeserializeOwned>(content: &[u8]) -> Result<T, DropReason> {
+    postcard::from_bytes(content).map_err(|_| DropReason::Malformed)
 }
 
 fn is_suspect(member: &Member<Peer>) -> bool {
@@ -439,7 +439,7 @@
         max_transmissions: NonZeroU8::new(often).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: round_trip * SUSPECTED,
         remove_down_after: Some(REMEMBERED),
-        max_packet_size: some(DATAGRAM_MOST - HEAD - 1),
+        max_packet_size: some(MAX_DATAGRAM_BYTES - HEAD - 1),
         notify_down_members: true,
         periodic_announce: None, // pages are compared instead
         periodic_announce_to_down_members: every(ASK_AWAY, TOLD),
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -18,13 +18,13 @@
 //!
 //! | channel | holds | when it is full | where it shows |
 //! | --- | --- | --- | --- |
-//! | datagrams to members | [`host::DEPTH`] datagrams | the newest is dropped, as any may be lost in transit | `fleet_dropped_total{reason="full"}` |
-//! | commands to members | [`host::ORDERS`] | the command is refused; the only one is to leave, and it is sent once | the log |
-//! | streams to log | [`host::FRAMES`] frames | the newest is dropped, as senders repeat their messages | `fleet_log_frames_lost_total` |
+//! | datagrams to members | [`host::DATAGRAM_CAPACITY`] datagrams | the newest is dropped, as any may be lost in transit | `fleet_dropped_total{reason="full"}` |
+//! | commands to members | [`host::COMMAND_CAPACITY`] | the command is refused; the only one is to leave, and it is sent once | the log |
+//! | streams to log | [`host::FRAME_CAPACITY`] frames | the newest is dropped, as senders repeat their messages | `fleet_log_frames_lost_total` |
 //! | log to streams | as many | the same | the same |
-//! | streams to a peer | [`host::PEER_DEPTH`] frames | the same; frames to other peers are not affected | the same |
+//! | streams to a peer | [`host::PEER_FRAME_CAPACITY`] frames | the same; frames to other peers are not affected | the same |
 //! | log to disk | [`crate::state::writer::QUEUE_CAPACITY`] batches | the log thread keeps them and sends nothing that depends on them | `state_refused_total` |
-//! | disk to log | [`host::DISK_DEPTH`] notifications | the disk thread blocks | `state_stuck_seconds` |
+//! | disk to log | [`host::DISK_EVENT_CAPACITY`] notifications | the disk thread blocks | `state_stuck_seconds` |
 //! | view to serving | one view, the newest | the older one is replaced | nowhere: a view is a state, not an event |
 //!
 //! The serving thread blocks on none of them. Without a `[fleet]` section there is no socket and no thread, and without
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -122,7 +122,7 @@
     let (commands, received_commands) = mpsc::unbounded_channel();
     let listed = |named: &[Named]| named.iter().map(|n| n.name.clone()).collect::<Vec<_>>();
     let (classes, tenants) = (listed(&names.classes), listed(&names.tenants));
-    let (disk_events, disk) = crossbeam_channel::bounded(gullpulley::fleet::host::DISK_DEPTH);
+    let (disk_events, disk) = crossbeam_channel::bounded(gullpulley::fleet::host::DISK_EVENT_CAPACITY);
     let has_voters = fleet.as_ref().is_some_and(|fleet| !fleet.voters.is_empty());
     let persistence = match state {
         Some(folder) => {
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -2,7 +2,7 @@
 //! notify and which never blocks on them.
 
 use crossbeam_channel::Receiver;
-use gullpulley::fleet::host::{Config, DiskSays, Figures, Fleet, Joining};
+use gullpulley::fleet::host::{Config, DiskEvent, Fleet, LogJoin, Stats};
 use gullpulley::fleet::log;
 use gullpulley::fleet::members::{Standing, View};
 use prometheus_client::metrics::counter::{ConstCounter, Counter};
@@ -47,7 +47,7 @@
         name: &str,
         zone: &str,
         balancers: u32,
-        disk: Receiver<DiskSays>,
+        disk: Receiver<DiskEvent>,
     ) -> io::Result<Rc<Self>> {
         let is_voter = config.voters.iter().any(|voter| voter == name);
         let fleet = Fleet::start(config, name, zone, balancers, disk)?;
@@ -68,14 +68,14 @@
 
     /// Joins the fleet: `start` is the state folder's id and the incarnation, if there is a state folder,
     /// and `persisted` the persisted state for the log.
-    pub fn join(&self, start: Option<(u128, u64)>, persisted: Option<Joining>) {
+    pub fn join(&self, start: Option<(u128, u64)>, persisted: Option<LogJoin>) {
         if persisted.is_none() && self.is_voter {
             error!(
                 "fleet log: this process is a voter, but its state is not persisted: it takes no part until it restarts"
             );
             return self.fleet.join(start, None);
         }
-        self.fleet.join(start, Some(persisted.unwrap_or_else(Joining::without_state)));
+        self.fleet.join(start, Some(persisted.unwrap_or_else(LogJoin::without_state)));
     }
 
     /// Announces to the other members that this process leaves.
@@ -89,7 +89,7 @@
         let mut line = |name: &str, value: &dyn std::fmt::Display| {
             let _ = writeln!(text, "fleet.{name}={value}"); // writing to a string does not fail
         };
-        let figures = self.fleet.figures();
+        let figures = self.fleet.stats();
         match &*self.fleet.view().borrow() {
             None => line("standing", &"waiting for its address"),
             Some(view) => {
@@ -100,7 +100,7 @@
                 line("known", &view.known);
                 line("balancers", &view.balancers);
                 line("away", &view.away.join(" "));
-                line("names_twice", &view.twice.join(" "));
+                line("names_twice", &view.duplicate_names.join(" "));
             }
         }
         if let Some(view) = &*self.fleet.log().borrow() {
@@ -119,13 +119,13 @@
             );
             line("log.mute", &u8::from(view.stopped));
         }
-        line("folder_older", &figures.older.load(Relaxed));
+        line("folder_older", &figures.newer_start.load(Relaxed));
         line("stuck_s", &figures.stuck_for().as_secs_f64());
         text
     }
 
     fn state_age(&self, view: &View) -> Duration {
-        self.fleet.figures().elapsed().saturating_sub(view.since)
+        self.fleet.stats().elapsed().saturating_sub(view.since)
     }
 
     /// Adds these metrics to a registry.
@@ -134,7 +134,7 @@
         let mut gauge = |name: &str, help: &str, value: f64| {
             fleet.register(name, help, ConstGauge::new(value));
         };
-        let figures = self.fleet.figures();
+        let figures = self.fleet.stats();
         if let Some(view) = &*self.fleet.view().borrow() {
             gauge("living", "Processes that are here, this one included", view.living as f64);
             gauge("suspects", "Those of them that somebody suspects to be gone", view.suspects as f64);
@@ -144,7 +144,7 @@
                 "Processes that share the work, as decisions are told",
                 view.balancers as f64,
             );
-            gauge("names_twice", "Names that two processes here have", view.twice.len() as f64);
+            gauge("names_twice", "Names that two processes here have", view.duplicate_names.len() as f64);
             gauge(
                 "standing_seconds",
                 "For how long the view has stood as it does",
@@ -182,7 +182,7 @@
             }
         }
         let help = "The later start that others remember of this state folder; 0 where none does";
-        gauge("folder_older", help, figures.older.load(Relaxed) as f64);
+        gauge("folder_older", help, figures.newer_start.load(Relaxed) as f64);
         gauge(
             "stuck_seconds",
             "Since the fleet's thread last had a turn",
@@ -190,20 +190,20 @@
         );
         gauge("waiting", "Datagrams that wait for the fleet's thread", self.fleet.waiting() as f64);
         let (datagrams, bytes) = <(Family<Labels, Counter>, Family<Labels, Counter>)>::default();
-        for (way, [count, size]) in [("in", &figures.came), ("out", &figures.went)] {
+        for (way, [count, size]) in [("in", &figures.received), ("out", &figures.sent)] {
             datagrams.get_or_create(&vec![("way", way)]).inc_by(count.load(Relaxed));
             bytes.get_or_create(&vec![("way", way)]).inc_by(size.load(Relaxed));
         }
         fleet.register("datagrams", "Datagrams", datagrams);
         fleet.register("datagram_bytes", "Their bytes", bytes);
         let dropped = Family::<Labels, Counter>::default();
-        for (reason, count) in Figures::REASONS.iter().zip(&figures.dropped) {
+        for (reason, count) in Stats::REASONS.iter().zip(&figures.dropped) {
             dropped.get_or_create(&vec![("reason", *reason)]).inc_by(count.load(Relaxed));
         }
         fleet.register("dropped", "Datagrams that came and were not heard", dropped);
         for (name, help, count) in [
-            ("unsent", "Datagrams that the system did not take", &figures.unsent),
-            ("stood", "Times that this process had stood still", &figures.stood),
+            ("unsent", "Datagrams that the system did not take", &figures.send_errors),
+            ("stood", "Times that this process had stood still", &figures.stalls),
             ("log_frames_in", "Frames of the log that came", &figures.frames[0]),
             ("log_frames_out", "Frames of the log that went", &figures.frames[1]),
             (
@@ -211,7 +211,7 @@
                 "Frames not delivered, or not heard as too many waited",
                 &figures.frames_lost,
             ),
-            ("orders_refused", "Orders that the fleet's thread did not take", &figures.refused),
+            ("orders_refused", "Orders that the fleet's thread did not take", &figures.commands_refused),
         ] {
             fleet.register(name, help, ConstCounter::new(count.load(Relaxed)));
         }
--- a/src/net/persistence.rs
+++ b/src/net/persistence.rs
@@ -2,7 +2,7 @@
 //! which never blocks on it.
 
 use crossbeam_channel::Sender;
-use gullpulley::fleet::host::{DiskSays, Joining};
+use gullpulley::fleet::host::{DiskEvent, LogJoin};
 use gullpulley::state::persisted::{Change, Identity, PersistedState};
 use gullpulley::state::store::Found;
 use gullpulley::state::writer::{Notification, SubmitError, Writer};
@@ -49,13 +49,13 @@
     pub fn open(
         folder: PathBuf,
         name: &str,
-        log: Option<Sender<DiskSays>>,
+        log: Option<Sender<DiskEvent>>,
     ) -> io::Result<(Rc<Self>, Receiver<Notification>)> {
         let (sender, statements) = channel(NOTIFICATION_CAPACITY);
         let notify = move |statement: Notification| {
             let event = match &statement {
-                Notification::Durable(number) => Some(DiskSays::Durable(*number)),
-                Notification::Stopped(_) => Some(DiskSays::Over),
+                Notification::Durable(number) => Some(DiskEvent::Durable(*number)),
+                Notification::Stopped(_) => Some(DiskEvent::Stopped),
                 Notification::Waiting(_) | Notification::Opened(_) | Notification::Failing(_) => None,
             };
             // Both sends fail only while the process ends.
@@ -87,8 +87,8 @@
     }
 
     /// What this process joins the fleet log with. Call it once, after the incarnation is durable.
-    pub fn join_data(&self, folder: u128) -> Joining {
-        Joining {
+    pub fn join_data(&self, folder: u128) -> LogJoin {
+        LogJoin {
             id: (folder as u64).max(1),
             memory: self.loaded.take(),
             writer: Some(self.writer.clone()),
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -5,7 +5,8 @@
 
 use fleet::{Net, ms, settings};
 use gullpulley::fleet::members::{
-    Counts, DATAGRAM_MOST, Members, NAME_MOST, Output, Peer, Settings, Standing, Start, Statement, View,
+    Counts, Event, MAX_DATAGRAM_BYTES, MAX_NAME_BYTES, Members, Output, Peer, Settings, Standing, Start,
+    View,
 };
 use std::time::Duration;
 
@@ -27,8 +28,8 @@
     net.places[number].view.as_ref().unwrap().balancers
 }
 
-fn is_lost(statement: &Statement) -> bool {
-    matches!(statement, Statement::Lost(_))
+fn is_lost(statement: &Event) -> bool {
+    matches!(statement, Event::Lost(_))
 }
 
 #[test]
@@ -52,7 +53,7 @@
         println!(
             "{many}: all known to all {found:?} after the last start, killed ones {known:?}, again {back:?}"
         );
-        assert!(net.longest <= DATAGRAM_MOST);
+        assert!(net.longest <= MAX_DATAGRAM_BYTES);
     }
 }
 
@@ -142,7 +143,7 @@
         !net.places[5].said.iter().any(|(at, said)| *at >= stopped && is_lost(said)),
         "it accused others"
     );
-    assert!(counts(&net, 5).stood > 0);
+    assert!(counts(&net, 5).stalls > 0);
 }
 
 /// Whoever claims a later generation forgets whom it was about to call lost, and its suspicion may have been told to all
@@ -199,10 +200,10 @@
     let since = |net: &Net| {
         let now = counts(net, 0);
         [
-            now.torn - before.torn,
+            now.corrupt - before.corrupt,
             now.foreign - before.foreign,
             now.newer - before.newer,
-            now.senseless - before.senseless,
+            now.malformed - before.malformed,
         ]
     };
     for at in 25..sample.len() {
@@ -262,11 +263,11 @@
     twice.me.name = "copy-1".to_owned();
     net.start(3, twice);
     assert!(
-        net.until(ms(3000), |view| view.living == 5 && view.twice == ["copy-1"]).is_some(),
+        net.until(ms(3000), |view| view.living == 5 && view.duplicate_names == ["copy-1"]).is_some(),
         "both count, and all say so"
     );
     net.kill(3);
-    assert!(net.until(ms(3000), |view| view.twice.is_empty()).is_some());
+    assert!(net.until(ms(3000), |view| view.duplicate_names.is_empty()).is_some());
 }
 
 /// A folder's process says how often it started there; the others remember.
@@ -276,7 +277,7 @@
     let older = |net: &Net, number: usize| {
         let said = net.places[number].said.iter().rev();
         said.filter_map(
-            |(_, said)| if let Statement::Older(start) = said { Some(start.number) } else { None },
+            |(_, said)| if let Event::NewerStartSeen(start) = said { Some(start.number) } else { None },
         )
         .next()
     };
@@ -323,7 +324,7 @@
     let mut net = Net::new(20, 9);
     for number in 0..20 {
         let long = settings(number, 20, 1, 9);
-        let (name, zone) = (format!("{number:0>NAME_MOST$}"), "z".repeat(NAME_MOST));
+        let (name, zone) = (format!("{number:0>MAX_NAME_BYTES$}"), "z".repeat(MAX_NAME_BYTES));
         net.start(number, Settings { me: Peer { name, zone, ..long.me.clone() }, ..long });
     }
     assert!(net.until(ms(10_000), |view| view.living == 20).is_some());
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -1,7 +1,7 @@
 //! A fleet in made time: members on a network that delays, loses, doubles and cuts, each way by itself.
 #![allow(dead_code)]
 
-use gullpulley::fleet::members::{DATAGRAM_MOST, Members, Output, Peer, Settings, Statement, View};
+use gullpulley::fleet::members::{Event, MAX_DATAGRAM_BYTES, Members, Output, Peer, Settings, View};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg32;
 use std::cmp::Reverse;
@@ -45,7 +45,7 @@
     /// It does nothing until then.
     pub stopped_until: Duration,
     pub view: Option<View>,
-    pub said: Vec<(Duration, Statement)>,
+    pub said: Vec<(Duration, Event)>,
     pub datagrams: u64,
     pub bytes: u64,
 }
@@ -186,7 +186,7 @@
     }
 
     /// How often those that run have said such a thing since then.
-    pub fn said(&self, since: Duration, what: impl Fn(&Statement) -> bool) -> usize {
+    pub fn said(&self, since: Duration, what: impl Fn(&Event) -> bool) -> usize {
         let said = self.running().flat_map(|place| &place.said);
         said.filter(|(at, statement)| *at >= since && what(statement)).count()
     }
@@ -194,10 +194,10 @@
     fn carry_out(&mut self, number: usize, out: Vec<Output>) {
         for output in out {
             match output {
-                Output::Says(Statement::View(view)) => self.places[number].view = Some(view),
-                Output::Says(statement) => self.places[number].said.push((self.now, statement)),
+                Output::Event(Event::View(view)) => self.places[number].view = Some(view),
+                Output::Event(statement) => self.places[number].said.push((self.now, statement)),
                 Output::Send(to, datagram) => {
-                    assert!(datagram.len() <= DATAGRAM_MOST);
+                    assert!(datagram.len() <= MAX_DATAGRAM_BYTES);
                     self.longest = self.longest.max(datagram.len());
                     self.places[number].datagrams += 1;
                     self.places[number].bytes += datagram.len() as u64;
