--- a/src/state/rewrite.rs
+++ b/src/state/rewrite.rs
@@ -1,38 +1,40 @@
-//! The way back after a write that failed: a fresh file, written whole from memory, synced, and put in the place of the
-//! one that can't be trusted any more. That one is never written or synced again: the system may have dropped pages
-//! whose sync failed, and a second sync would not say so.
+//! Recovery from a failed write: a new file is written from the state in memory, synced, and renamed over
+//! the old file, which is never written or synced again: the kernel may have dropped pages whose sync
+//! failed, and a second sync would not report it.
 
 use super::persisted::PersistedState;
-use super::store::{FILE, SUSPECT_MARKER, Store, StoreError, durable_folder};
+use super::store::{FILE, SUSPECT_MARKER, Store, StoreError, sync_folder};
 use std::fs;
 use std::io;
 use std::path::Path;
 
-/// The fresh file until it takes its place; what a kill leaves of one is written over.
+/// Name of the new file until it is renamed; a file left by a process that was killed is overwritten.
 pub const TEMP_FILE: &str = "memory.fresh";
 
-/// Writes all of a memory to a fresh file, which takes the place of the folder's; returns once that is durable.
+/// Writes the whole state to a new file and renames it over the folder's database file; returns once that
+/// is durable.
 ///
 /// # Errors
-/// Where the disk still fails. It may be called again.
-pub fn rewrite(folder: &Path, memory: &PersistedState) -> Result<Store, StoreError> {
-    let (fresh, file, suspect) = (folder.join(TEMP_FILE), folder.join(FILE), folder.join(SUSPECT_MARKER));
+/// If the disk still fails. It may be called again.
+pub fn rewrite(folder: &Path, state: &PersistedState) -> Result<Store, StoreError> {
+    let (temp_file, file, marker) =
+        (folder.join(TEMP_FILE), folder.join(FILE), folder.join(SUSPECT_MARKER));
     let failed = |path: &Path| {
         let path = path.to_owned();
         move |e: io::Error| StoreError::Io(path, e)
     };
-    remove(&fresh).map_err(failed(&fresh))?;
-    let mut store = Store::create(&fresh)?;
-    store.commit(&memory.changes())?;
-    fs::rename(&fresh, &file).map_err(failed(&file))?;
-    durable_folder(folder).map_err(failed(folder))?;
-    // Until here a start would set aside what it finds.
-    remove(&suspect).map_err(failed(&suspect))?;
-    durable_folder(folder).map_err(failed(folder))?;
+    remove(&temp_file).map_err(failed(&temp_file))?;
+    let mut store = Store::create(&temp_file)?;
+    store.commit(&state.changes())?;
+    fs::rename(&temp_file, &file).map_err(failed(&file))?;
+    sync_folder(folder).map_err(failed(folder))?;
+    // Until the marker is removed, the next start sets the file aside.
+    remove(&marker).map_err(failed(&marker))?;
+    sync_folder(folder).map_err(failed(folder))?;
     Ok(store)
 }
 
-/// Removes a file that may not be there.
+/// Removes a file if it exists.
 fn remove(file: &Path) -> io::Result<()> {
     match fs::remove_file(file) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
