--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,13 +1,16 @@
-//! What a process keeps on disk: who it is, what it promised as a voter, the agreed log and state, the epochs and
-//! grants it has seen.
+//! Persisted state of a process: its identity, its Raft hard state, the replicated log and snapshot, and
+//! the epochs and grants it has seen.
 //!
-//! `persisted` is what is kept, as plain values, and what can't be true of it; `record` is a value as it lies on disk,
-//! with a checksum; `store` is the file behind it, opened with distrust (`scratch`); `writer` is the one thread that has it.
+//! `persisted` holds the state as plain values and checks its consistency; `record` encodes a value for the
+//! disk, with a checksum; `store` is the database file, which is verified on a copy in memory (`scratch`)
+//! before it is used; `writer` is the only thread that accesses it; `rewrite` replaces the file after a
+//! failed write.
 //!
-//! The rules: nothing is spoken of before it is durable. A write that failed is never tried again on the same file,
-//! in this life or the next: a fresh one (`rewrite`) is written whole from memory, and nothing is confirmed until it is durable. What can't be trusted is set aside under another name as it was found, and the process
-//! begins anew as somebody else: its peers decide when it may vote again. A folder that is merely older than it was
-//! can't be told from here; peers remember, and are asked.
+//! Nothing is sent to others before it is durable. A failed write is never retried on the same file,
+//! neither by this process nor by a later one: a new file is written from the state in memory, and nothing
+//! is confirmed until that file is durable. A file that fails verification is renamed unchanged, and the
+//! process starts with a new identity: its peers decide when it may vote again. A folder restored from an
+//! older copy can't be detected locally; peers remember the latest start on each folder and are asked.
 
 pub mod persisted;
 pub mod record;
--- a/src/state/persisted.rs
+++ b/src/state/persisted.rs
@@ -1,38 +1,39 @@
-//! What a process must not forget, as plain values: what is there, how it changes, and what can't be true of it.
+//! The persisted state as plain values: its content, the changes to it, and the check of its consistency.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::hash::{BuildHasher, Hasher, RandomState};
 use thiserror::Error;
 
-/// Who a process is to its peers.
+/// The identity of a process to its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
-    /// Drawn once for a folder: one that comes back empty, or from elsewhere, is somebody else.
+    /// Random id, drawn once per folder: a process whose folder is emptied or replaced gets another
+    /// identity.
     pub folder: u128,
     /// The process's name in its configuration.
     pub name: String,
-    /// Starts on this folder, this one included. Only goes up.
+    /// Number of starts on this folder, including this one. Never decreases.
     pub incarnation: u64,
 }
 
 impl Identity {
-    /// Somebody new: the first start of the process of this name on a new folder.
+    /// A new identity, for the first start of the process of this name on a new folder.
     pub fn drawn(name: &str) -> Self {
-        // Keys of the standard library's hash tables are random, and differ each time.
+        // Each `RandomState` of the standard library has different random keys.
         let half = || u128::from(RandomState::new().build_hasher().finish());
         Identity { folder: half() << 64 | half(), name: name.to_owned(), incarnation: 1 }
     }
 }
 
-/// What a voter has promised, and how far it knows the log to be agreed.
+/// The Raft hard state of a voter: its term, its vote and its commit index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The latest term it has seen.
     pub term: u64,
-    /// Whom it voted for in that term.
+    /// The candidate that got its vote in that term.
     pub vote: Option<u64>,
-    /// Everything up to this index is agreed.
+    /// Everything up to this index is committed.
     pub commit: u64,
 }
 
@@ -41,63 +42,63 @@
 pub struct Entry {
     /// The term in which it was proposed.
     pub term: u64,
-    /// What it says, in its sender's words.
+    /// The content, encoded by the proposer.
     pub bytes: Vec<u8>,
 }
 
-/// The agreed state as it was after an index of the log.
+/// The replicated state after applying the log up to an index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last index that is in it.
+    /// The last log index included.
     pub index: u64,
-    /// That entry's term.
+    /// The term of that entry.
     pub term: u64,
-    /// The state, in its owner's words.
+    /// The state, encoded by its owner.
     pub bytes: Vec<u8>,
 }
 
-/// One thing to remember.
+/// One change to the persisted state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// Who this process is.
+    /// Sets the identity of this process.
     Identity(Identity),
-    /// What it has promised as a voter.
+    /// Sets the hard state.
     HardState(HardState),
-    /// The log from `first` on is these entries, and nothing behind them.
+    /// Replaces the log from `first` on by these entries.
     Log {
-        /// Index of the first of them.
+        /// Index of the first entry.
         first: u64,
-        /// They, in order.
+        /// The entries, in order.
         entries: Vec<Entry>,
     },
-    /// The agreed state at an index: what the log holds up to there is no longer needed.
+    /// Sets the snapshot and drops the log entries that it includes.
     Snapshot(Snapshot),
-    /// The highest epoch seen of a duty. A lower one than known changes nothing.
+    /// Raises the highest epoch seen for a duty; an epoch that is not higher changes nothing.
     Epoch {
-        /// Which duty.
+        /// The name of the duty.
         duty: String,
         /// Its epoch.
         epoch: u64,
     },
-    /// A grant in force, in its giver's words; none once it is over.
+    /// Sets a grant in force, encoded by its issuer, or removes it once it has ended.
     Grant {
-        /// Its name.
+        /// The name of the grant.
         name: String,
-        /// What was granted.
+        /// The grant; `None` removes it.
         bytes: Option<Vec<u8>>,
     },
 }
 
-/// Everything that is remembered.
+/// The whole persisted state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PersistedState {
-    /// Who this process is; none on a folder that is new.
+    /// The identity of this process; `None` on a new folder.
     pub identity: Option<Identity>,
-    /// What it has promised.
+    /// The hard state of the voter.
     pub hard_state: HardState,
-    /// The last agreed state kept; its index is 0 where there is none.
+    /// The latest snapshot; its index is 0 if there is none.
     pub snapshot: Snapshot,
-    /// The log behind the snapshot, by index.
+    /// The log after the snapshot, by index.
     pub log: BTreeMap<u64, Entry>,
     /// The highest epoch seen, by duty.
     pub epochs: BTreeMap<String, u64>,
@@ -105,61 +106,64 @@
     pub grants: BTreeMap<String, Vec<u8>>,
 }
 
-/// Why what is remembered can't be true: a voter with such a memory must not vote.
+/// An inconsistency in the persisted state: a voter with such a state must not vote.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Inconsistency {
-    /// The log has a hole, or does not begin where the snapshot ends.
-    #[error("the log has no entry {missing}, though it goes on to {last}")]
+    /// The log has a gap, or does not begin where the snapshot ends.
+    #[error("log entry {missing} is missing; the last entry is {last}")]
     Gap {
-        /// The first index that is not there.
+        /// The first missing index.
         missing: u64,
-        /// The last that is.
+        /// The last index present.
         last: u64,
     },
-    /// An entry is from a later term than the one that follows it, or than any seen.
-    #[error("entry {index} of the log is from term {term}, but the term before it or promised is {known}")]
+    /// An entry has a lower term than the one before it, or a higher one than the hard state.
+    #[error(
+        "log entry {index} has term {term}, which is inconsistent with term {known} of the entry before it or of the hard state"
+    )]
     Term {
         /// The entry's index.
         index: u64,
         /// Its term.
         term: u64,
-        /// The term that it contradicts.
+        /// The term of the entry before it, or of the hard state.
         known: u64,
     },
-    /// More is agreed than is there.
-    #[error("agreed up to {commit}, but the log ends at {last}")]
+    /// The commit index is beyond the end of the log.
+    #[error("commit index {commit} is beyond the end of the log at {last}")]
     Commit {
-        /// What is agreed.
+        /// The commit index.
         commit: u64,
-        /// What is there.
+        /// The last index of the log.
         last: u64,
     },
-    /// A folder knows of votes or entries, but not whose they are.
-    #[error("there is a log or a promise, but not whose")]
+    /// There is a hard state or a log, but no identity.
+    #[error("there is a log or a hard state, but no identity")]
     NoIdentity,
 }
 
 impl PersistedState {
-    /// All of it as changes to an empty one.
+    /// The whole state as changes to an empty one.
     pub fn changes(&self) -> Vec<Change> {
         let identity = self.identity.clone().map(Change::Identity);
         let first = self.snapshot.index + 1;
         let log = Change::Log { first, entries: self.log.values().cloned().collect() };
-        let fixed = [Change::HardState(self.hard_state), Change::Snapshot(self.snapshot.clone()), log];
+        let single_values =
+            [Change::HardState(self.hard_state), Change::Snapshot(self.snapshot.clone()), log];
         let epochs =
             self.epochs.iter().map(|(duty, epoch)| Change::Epoch { duty: duty.clone(), epoch: *epoch });
         let grants = self
             .grants
             .iter()
             .map(|(name, bytes)| Change::Grant { name: name.clone(), bytes: Some(bytes.clone()) });
-        identity.into_iter().chain(fixed).chain(epochs).chain(grants).collect()
+        identity.into_iter().chain(single_values).chain(epochs).chain(grants).collect()
     }
 
-    /// Takes a change.
+    /// Applies a change.
     pub fn apply(&mut self, change: Change) {
         match change {
             Change::Identity(identity) => self.identity = Some(identity),
-            Change::HardState(promise) => self.hard_state = promise,
+            Change::HardState(hard_state) => self.hard_state = hard_state,
             Change::Log { first, entries } => {
                 drop(self.log.split_off(&first));
                 self.log.extend((first..).zip(entries));
@@ -177,34 +181,34 @@
         }
     }
 
-    /// The last index of the log, or of the snapshot where nothing is behind it.
+    /// The last index of the log, or of the snapshot if the log is empty.
     pub fn last(&self) -> u64 {
         self.log.last_key_value().map_or(self.snapshot.index, |(index, _)| *index)
     }
 
-    /// Whether all of it can be true at once.
+    /// Checks that the parts are consistent with each other.
     pub fn check(&self) -> Result<(), Inconsistency> {
-        let mut known = self.snapshot.term;
-        for (wanted, (&index, entry)) in (self.snapshot.index + 1..).zip(&self.log) {
-            if index != wanted {
-                return Err(Inconsistency::Gap { missing: wanted, last: self.last() });
+        let mut previous_term = self.snapshot.term;
+        for (expected, (&index, entry)) in (self.snapshot.index + 1..).zip(&self.log) {
+            if index != expected {
+                return Err(Inconsistency::Gap { missing: expected, last: self.last() });
             }
-            if entry.term < known {
-                return Err(Inconsistency::Term { index, term: entry.term, known });
+            if entry.term < previous_term {
+                return Err(Inconsistency::Term { index, term: entry.term, known: previous_term });
             }
-            known = entry.term;
+            previous_term = entry.term;
         }
-        if known > self.hard_state.term {
+        if previous_term > self.hard_state.term {
             return Err(Inconsistency::Term {
                 index: self.last(),
-                term: known,
+                term: previous_term,
                 known: self.hard_state.term,
             });
         }
         if self.hard_state.commit > self.last() {
             return Err(Inconsistency::Commit { commit: self.hard_state.commit, last: self.last() });
         }
-        let spoken = self.hard_state != HardState::default() || self.last() > 0;
-        if spoken && self.identity.is_none() { Err(Inconsistency::NoIdentity) } else { Ok(()) }
+        let has_voter_state = self.hard_state != HardState::default() || self.last() > 0;
+        if has_voter_state && self.identity.is_none() { Err(Inconsistency::NoIdentity) } else { Ok(()) }
     }
 }
--- a/src/state/scratch.rs
+++ b/src/state/scratch.rs
@@ -1,25 +1,26 @@
-//! A copy of a file in memory, on which what is damaged may do its worst. It does not grow far: a damaged length must
-//! not ask for more memory than there is, which would end the process.
+//! A storage backend in memory, for opening a copy of a file that may be damaged. Its growth is limited: a
+//! damaged length field must not cause an allocation beyond the available memory, which would abort the
+//! process.
 
 use redb::StorageBackend;
 use std::io;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// So much longer than it was found a file may become as it is opened, in bytes.
-const GROWTH: usize = 16 << 20;
+/// Limit on the growth of a file while it is opened, in bytes.
+const MAX_GROWTH: usize = 16 << 20;
 
-/// The copy.
+/// A copy of a file in memory.
 #[derive(Debug)]
 pub struct ScratchBackend {
     bytes: Mutex<Vec<u8>>,
-    most: usize,
+    max_len: usize,
 }
 
 impl ScratchBackend {
     /// A copy of these bytes.
     pub fn of(bytes: Vec<u8>) -> Self {
-        let most = bytes.len() + GROWTH;
-        ScratchBackend { bytes: Mutex::new(bytes), most }
+        let max_len = bytes.len() + MAX_GROWTH;
+        ScratchBackend { bytes: Mutex::new(bytes), max_len }
     }
 
     fn bytes(&self) -> MutexGuard<'_, Vec<u8>> {
@@ -27,7 +28,7 @@
     }
 }
 
-/// The bytes from an offset on.
+/// The `length` bytes from an offset on.
 fn range(bytes: &mut [u8], offset: u64, length: usize) -> io::Result<&mut [u8]> {
     let from = usize::try_from(offset).map_err(|_| io::ErrorKind::InvalidData)?;
     let to = from.checked_add(length).ok_or(io::ErrorKind::InvalidData)?;
@@ -46,11 +47,11 @@
 
     fn set_len(&self, len: u64) -> io::Result<()> {
         match usize::try_from(len) {
-            Ok(len) if len <= self.most => self.bytes().resize(len, 0),
+            Ok(len) if len <= self.max_len => self.bytes().resize(len, 0),
             _ => {
                 return Err(io::Error::new(
                     io::ErrorKind::InvalidData,
-                    format!("it says that it has {len} bytes"),
+                    format!("file length {len} exceeds the limit on its growth"),
                 ));
             }
         }
