--- a/src/state/writer.rs
+++ b/src/state/writer.rs
@@ -1,10 +1,10 @@
-//! The thread that writes. Nobody waits for it: batches go to it through a bounded ring, and what became of them
-//! comes back as statements.
+//! The disk thread. No other thread blocks on it: batches are passed to it through a bounded channel, and
+//! their results come back as notifications.
 //!
-//! | ring | holds | when it is full | who notices |
+//! | channel | holds | when it is full | where it shows |
 //! | --- | --- | --- | --- |
-//! | to the disk | [`QUEUE_CAPACITY`] batches | the batch is refused, and its sender holds back | [`Stats::refused`] |
-//! | from the disk | the caller's own | `say` may wait: the disk's thread then does | [`Writer::waiting`] |
+//! | to the disk | [`QUEUE_CAPACITY`] batches | the batch is refused, and the sender must retry later | [`Stats::refused`] |
+//! | from the disk | as the caller chooses | `notify` may block the disk thread | [`Writer::waiting`] |
 
 use super::persisted::{Change, PersistedState};
 use super::rewrite;
@@ -17,62 +17,67 @@
 use std::time::{Duration, Instant, SystemTime};
 use thiserror::Error;
 
-/// Batches that may wait for the disk.
+/// Batches that may be queued for the disk.
 pub const QUEUE_CAPACITY: usize = 256;
-/// How often a folder that another process has is looked at.
-const LOCK_LOOK: Duration = Duration::from_millis(100);
-/// Batches written as one at most: what waits while the disk is busy shares its next sync.
-const TOGETHER: usize = 64;
-
-/// After a write that failed a fresh file is tried after this, and each time after twice as long, ...
-const RETRY_FIRST: Duration = Duration::from_millis(100);
-/// ... up to this.
-const RETRY_MOST: Duration = Duration::from_secs(2);
-
-/// What the disk has to say.
+/// Interval between attempts to open a folder that is locked by another process or temporarily
+/// inaccessible.
+const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Most batches per transaction: batches that queue up while the disk is busy share the next sync.
+const MAX_BATCHES_PER_COMMIT: usize = 64;
+
+/// Delay before the first rewrite of the file after a failed write; it doubles with each attempt ...
+const FIRST_REWRITE_DELAY: Duration = Duration::from_millis(100);
+/// ... up to this limit.
+const MAX_REWRITE_DELAY: Duration = Duration::from_secs(2);
+
+/// A notification from the disk thread.
 #[derive(Debug)]
 pub enum Notification {
-    /// Another process has the folder, as this says; it is opened as soon as that one ends.
+    /// The folder is locked by another process, with this message; it is opened as soon as that process
+    /// ends.
     Waiting(String),
-    /// The folder is open. Said once, and before anything durable.
+    /// The folder is open. Sent once, before any [`Notification::Durable`].
     Opened(Found),
     /// All batches up to this number are durable.
     Durable(u64),
-    /// A write failed, or the folder can't be opened for now. Nothing is confirmed until a later [`Notification::Durable`].
+    /// A write failed, or the folder can't be opened for now. Nothing is confirmed until the next
+    /// [`Notification::Durable`].
     Failing(StoreError),
-    /// Nothing is kept, from the start or from now on. Said last: no batch after the last durable one may be spoken of.
+    /// Nothing is persisted, from the start or from now on. Sent last: batches after the last durable one
+    /// must be treated as not persisted.
     Stopped(StoreError),
 }
 
-/// Why a batch was not taken.
+/// Why a batch was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SubmitError {
-    /// The disk is behind.
-    #[error("the disk is behind: {QUEUE_CAPACITY} batches wait for it")]
+    /// The queue is full.
+    #[error("disk queue is full: {QUEUE_CAPACITY} batches are waiting")]
     Full,
-    /// There is no store any more.
-    #[error("nothing is kept any more")]
+    /// The disk thread has stopped.
+    #[error("the disk thread has stopped; nothing is persisted any more")]
     Stopped,
 }
 
-/// What the writer counts. All of it may be read at any time.
+/// Statistics of the writer, which any thread may read at any time.
 #[derive(Debug, Default)]
 pub struct Stats {
-    /// Batches that are durable.
+    /// Number of the last durable batch.
     pub durable: AtomicU64,
-    /// Batches that were refused as too many waited.
+    /// Batches refused because the queue was full.
     pub refused: AtomicU64,
-    /// Commits, each with its syncs.
+    /// Commits, each including its syncs.
     pub commits: AtomicU64,
-    /// Microseconds that all commits took.
+    /// Total duration of all commits, in microseconds.
     pub commits_us: AtomicU64,
-    /// Microseconds that the longest took.
+    /// Duration of the longest commit, in microseconds.
     pub longest_us: AtomicU64,
-    /// Microseconds after the writer's start at which the commit under way began; 0 while there is none.
-    busy_us: AtomicU64,
+    /// Start of the commit in progress, in microseconds since the writer's start; 0 if there is none.
+    commit_started_us: AtomicU64,
 }
 
-/// A writer for one folder. Dropped, it writes what it has taken and ends.
+/// The handle of the disk thread of one folder. When it is dropped, the thread writes the queued batches
+/// and ends.
 #[derive(Debug)]
 pub struct Writer {
     batches: Sender<Batch>,
@@ -84,21 +89,23 @@
 type Batch = (u64, Vec<Change>);
 
 impl Writer {
-    /// Starts the thread, which opens this folder for the process of this name. What the disk has to say goes to `say`,
-    /// on that thread.
+    /// Starts the thread, which opens this folder for the process of this name and calls `notify` on that
+    /// thread.
     pub fn start(
         folder: PathBuf,
         name: String,
-        say: impl FnMut(Notification) + Send + 'static,
+        notify: impl FnMut(Notification) + Send + 'static,
     ) -> std::io::Result<Self> {
-        let (batches, taken) = bounded(QUEUE_CAPACITY);
+        let (batches, receiver) = bounded(QUEUE_CAPACITY);
         let (stats, began) = (Arc::<Stats>::default(), Instant::now());
-        let desk = Desk { stats: stats.clone(), began, say };
-        thread::Builder::new().name("disk".to_owned()).spawn(move || desk.work(&folder, &name, taken))?;
+        let thread = DiskThread { stats: stats.clone(), began, notify };
+        thread::Builder::new()
+            .name("disk".to_owned())
+            .spawn(move || thread.run(&folder, &name, receiver))?;
         Ok(Writer { batches, stats, began, last: 0 })
     }
 
-    /// Hands over changes to be made as one; the batch's number. Never waits.
+    /// Queues changes for one transaction and returns the batch's number. Never blocks.
     pub fn submit(&mut self, changes: Vec<Change>) -> Result<u64, SubmitError> {
         match self.batches.try_send((self.last + 1, changes)) {
             Ok(()) => {
@@ -113,117 +120,124 @@
         }
     }
 
-    /// What it counts.
+    /// The statistics.
     pub fn stats(&self) -> &Arc<Stats> {
         &self.stats
     }
 
-    /// Batches that wait.
+    /// Number of queued batches.
     pub fn waiting(&self) -> usize {
         self.batches.len()
     }
 
-    /// For how many seconds the disk has been at one commit; 0 where there is none.
+    /// Duration of the commit in progress, in seconds; 0 if there is none.
     pub fn stuck_for(&self) -> f64 {
-        match self.stats.busy_us.load(Relaxed) {
+        match self.stats.commit_started_us.load(Relaxed) {
             0 => 0.0,
             since => (self.began.elapsed().as_micros() as u64).saturating_sub(since) as f64 / 1e6,
         }
     }
 }
 
-struct Desk<S> {
+struct DiskThread<S> {
     stats: Arc<Stats>,
     began: Instant,
-    say: S,
+    notify: S,
 }
 
-impl<S: FnMut(Notification)> Desk<S> {
-    fn work(mut self, folder: &Path, name: &str, taken: Receiver<Batch>) {
-        // Colons are no part of a name that every tool takes.
+impl<S: FnMut(Notification)> DiskThread<S> {
+    fn run(mut self, folder: &Path, name: &str, receiver: Receiver<Batch>) {
+        // Not every tool accepts colons in file names.
         let stamp = humantime::format_rfc3339_seconds(SystemTime::now()).to_string().replace(':', "-");
-        let Some((mut store, mut memory)) = self.open(folder, name, &stamp) else { return };
-        while let Ok(first) = taken.recv() {
-            let batches: Vec<Batch> =
-                std::iter::once(first).chain(taken.try_iter().take(TOGETHER - 1)).collect();
+        let Some((mut store, mut state)) = self.open(folder, name, &stamp) else { return };
+        while let Ok(first) = receiver.recv() {
+            let batches: Vec<Batch> = std::iter::once(first)
+                .chain(receiver.try_iter().take(MAX_BATCHES_PER_COMMIT - 1))
+                .collect();
             let committed = self.commit(&mut store, &batches);
             let last = batches.last().map_or(0, |(number, _)| *number);
-            batches.into_iter().flat_map(|(_, changes)| changes).for_each(|change| memory.apply(change));
+            batches.into_iter().flat_map(|(_, changes)| changes).for_each(|change| state.apply(change));
             if let Err(error) = committed {
                 if let Err(e) = store::mark_suspect(folder) {
-                    tracing::error!("{}: that a write failed could not be noted: {e}", folder.display());
+                    tracing::error!(
+                        "{}: a write failed, and the marker file could not be written: {e}",
+                        folder.display()
+                    );
                 }
-                (self.say)(Notification::Failing(error));
-                match self.begin_anew(folder, &memory) {
-                    Some(fresh) => store = fresh,
+                (self.notify)(Notification::Failing(error));
+                match self.rewrite_until_durable(folder, &state) {
+                    Some(rewritten) => store = rewritten,
                     None => return,
                 }
                 self.stats.durable.store(last, Relaxed);
             }
-            (self.say)(Notification::Durable(last));
+            (self.notify)(Notification::Durable(last));
         }
     }
 
-    /// Opens the folder as soon as no other process has it and the disk lets it; none where it can't be had at all, or
-    /// nobody wants it any more.
+    /// Opens the folder once no other process holds its lock and the disk allows it; `None` if it can't be
+    /// opened at all, or the [`Writer`] was dropped.
     fn open(&mut self, folder: &Path, name: &str, stamp: &str) -> Option<(Store, PersistedState)> {
-        let mut told = None;
+        let mut last_reported = None;
         loop {
             let error = match Store::open(folder, name, stamp) {
                 Ok((store, found)) => {
-                    let memory = match &found {
-                        Found::State(memory) => memory.clone(),
+                    let state = match &found {
+                        Found::State(state) => state.clone(),
                         Found::Nothing | Found::SetAside(..) => PersistedState::default(),
                     };
-                    (self.say)(Notification::Opened(found));
-                    return Some((store, memory));
+                    (self.notify)(Notification::Opened(found));
+                    return Some((store, state));
                 }
                 Err(error) => error,
             };
-            // During an upgrade the older process has the folder until it ends. A lock wakes nobody.
-            let taken = matches!(error, StoreError::Locked(_));
-            if !taken && !error.is_transient() {
-                (self.say)(Notification::Stopped(error));
+            // During a hot restart the predecessor holds the lock until it ends; its release gives no
+            // event, hence the polling.
+            let locked = matches!(error, StoreError::Locked(_));
+            if !locked && !error.is_transient() {
+                (self.notify)(Notification::Stopped(error));
                 return None;
             }
-            if told.replace(taken) != Some(taken) {
-                (self.say)(match taken {
+            if last_reported.replace(locked) != Some(locked) {
+                (self.notify)(match locked {
                     true => Notification::Waiting(error.to_string()),
                     false => Notification::Failing(error),
                 });
             }
-            thread::sleep(LOCK_LOOK);
-            if self.is_unwanted() {
+            thread::sleep(OPEN_RETRY_INTERVAL);
+            if self.is_abandoned() {
                 return None;
             }
         }
     }
 
-    /// Nobody holds the writer any more.
-    fn is_unwanted(&self) -> bool {
+    /// Whether the [`Writer`] was dropped.
+    fn is_abandoned(&self) -> bool {
         Arc::strong_count(&self.stats) == 1
     }
 
-    /// Writes a fresh file until one is durable; none where nobody wants it any more.
-    fn begin_anew(&self, folder: &Path, memory: &PersistedState) -> Option<Store> {
-        let mut wait = RETRY_FIRST;
-        while !self.is_unwanted() {
-            thread::sleep(wait);
-            match rewrite::rewrite(folder, memory) {
+    /// Rewrites the file until an attempt is durable; `None` if the [`Writer`] was dropped.
+    fn rewrite_until_durable(&self, folder: &Path, state: &PersistedState) -> Option<Store> {
+        let mut delay = FIRST_REWRITE_DELAY;
+        while !self.is_abandoned() {
+            thread::sleep(delay);
+            match rewrite::rewrite(folder, state) {
                 Ok(store) => return Some(store),
                 Err(error) => tracing::debug!("{}: {error}", folder.display()),
             }
-            wait = (wait * 2).min(RETRY_MOST);
+            delay = (delay * 2).min(MAX_REWRITE_DELAY);
         }
         None
     }
 
     fn commit(&self, store: &mut Store, batches: &[Batch]) -> Result<(), StoreError> {
-        let (begun, stats) = (Instant::now(), &self.stats);
-        stats.busy_us.store((begun.duration_since(self.began).as_micros() as u64).max(1), Relaxed);
+        let (started, stats) = (Instant::now(), &self.stats);
+        stats
+            .commit_started_us
+            .store((started.duration_since(self.began).as_micros() as u64).max(1), Relaxed);
         let committed = store.commit(batches.iter().flat_map(|(_, changes)| changes));
-        let took = begun.elapsed().as_micros() as u64;
-        stats.busy_us.store(0, Relaxed);
+        let took = started.elapsed().as_micros() as u64;
+        stats.commit_started_us.store(0, Relaxed);
         stats.commits.fetch_add(1, Relaxed);
         stats.commits_us.fetch_add(took, Relaxed);
         stats.longest_us.fetch_max(took, Relaxed);
