--- a/src/fleet/members/datagram.rs
+++ b/src/fleet/members/datagram.rs
@@ -1,14 +1,14 @@
-//! The frame of a datagram, and what is dropped at it: what was torn on its way, comes from another cluster or a later
-//! build, or has been here before.
+//! The frame of a datagram and its validation: datagrams that are corrupt, from another cluster, from a
+//! later build, or duplicates are dropped.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 4 | CRC-32 over the cluster's name, a zero byte, and all that follows |
 //! | 1 | version |
 //! | 4 | CRC-32 of the cluster's name |
-//! | 8 | the sender's life: drawn at its start |
-//! | 8 | number of the datagram in that life, from 1 |
-//! | rest | what foca says |
+//! | 8 | instance id of the sender: random, drawn at its start |
+//! | 8 | sequence number of the datagram from that instance, from 1 |
+//! | rest | the content |
 
 use crate::fleet::sequence_window::SequenceWindow;
 use crate::state::record::checksum;
@@ -17,54 +17,54 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The longest datagram: it passes any ordinary network in one piece.
+/// Limit on a datagram, in bytes: it passes ordinary networks without fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// Bytes of the frame before foca's own.
-pub(super) const HEAD: usize = 25;
-/// The form of datagrams that this build speaks.
+/// Length of the frame's header, in bytes.
+pub(super) const HEADER_LEN: usize = 25;
+/// Version of the datagram format of this build.
 const VERSION: u8 = 1;
-/// A life of which nothing has come for so long is forgotten, if there are many.
-const FORGET: Duration = Duration::from_secs(600);
-/// Lives that are remembered in any case.
-const LIVES: usize = 256;
+/// Retention of a silent sender, once more than [`MIN_SENDERS`] are remembered.
+const SENDER_RETENTION: Duration = Duration::from_secs(600);
+/// Number of senders that are remembered without expiry.
+const MIN_SENDERS: usize = 256;
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DropReason {
-    /// Not what was sent: cut short or changed.
+    /// Truncated or altered in transit.
     #[error("torn")]
     Corrupt,
-    /// From another cluster, or no datagram of a fleet at all.
-    #[error("of another cluster")]
+    /// From another cluster, or not a datagram of a fleet at all.
+    #[error("from another cluster")]
     Foreign,
-    /// From a build with a later form.
-    #[error("of a later form")]
+    /// From a build with a later version of the format.
+    #[error("later format version")]
     Newer,
-    /// It has come before, or is far behind others of its sender.
-    #[error("old or twice")]
+    /// A duplicate, or far behind other datagrams of its sender.
+    #[error("old or duplicate")]
     Old,
-    /// Whole, but it says nothing that it could.
+    /// The checksum matches, but the content is not valid.
     #[error("senseless")]
     Malformed,
 }
 
-/// Seals what goes out, and opens what comes in.
-pub(super) struct Frames {
+/// Adds the frame to outgoing datagrams, and validates and removes it on incoming ones.
+pub(super) struct FrameCodec {
     cluster: String,
-    life: u64,
+    instance: u64,
     sent: u64,
-    lives: HashMap<u64, Life>,
+    senders: HashMap<u64, Sender>,
 }
 
-/// Which datagrams of a life have come, and when the last did.
-struct Life {
+/// The sequence numbers received from one instance, and when the last datagram arrived.
+struct Sender {
     seen: SequenceWindow,
-    heard: Duration,
+    last_received: Duration,
 }
 
-impl Frames {
-    pub(super) fn new(cluster: String, life: u64) -> Self {
-        Frames { cluster, life, sent: 0, lives: HashMap::new() }
+impl FrameCodec {
+    pub(super) fn new(cluster: String, instance: u64) -> Self {
+        FrameCodec { cluster, instance, sent: 0, senders: HashMap::new() }
     }
 
     pub(super) fn seal(&mut self, content: &[u8]) -> Vec<u8> {
@@ -72,50 +72,51 @@
         let mut datagram = vec![0; 4];
         datagram.push(VERSION);
         datagram.extend(crc32fast::hash(self.cluster.as_bytes()).to_le_bytes());
-        datagram.extend(self.life.to_le_bytes());
+        datagram.extend(self.instance.to_le_bytes());
         datagram.extend(self.sent.to_le_bytes());
         datagram.extend(content);
-        let sum = checksum(&self.cluster, &datagram[4..]).to_le_bytes();
-        datagram[..4].copy_from_slice(&sum);
+        let checksum = checksum(&self.cluster, &datagram[4..]).to_le_bytes();
+        datagram[..4].copy_from_slice(&checksum);
         datagram
     }
 
-    /// What foca said, where it is to be heard.
+    /// The content of a datagram that passes validation.
     pub(super) fn open<'a>(&mut self, now: Duration, datagram: &'a [u8]) -> Result<&'a [u8], DropReason> {
-        let (told, sealed) = datagram.split_first_chunk::<4>().ok_or(DropReason::Corrupt)?;
-        let (version, rest) = sealed.split_first().ok_or(DropReason::Corrupt)?;
+        let (stored_checksum, payload) = datagram.split_first_chunk::<4>().ok_or(DropReason::Corrupt)?;
+        let (version, rest) = payload.split_first().ok_or(DropReason::Corrupt)?;
         let (cluster, rest) = rest.split_first_chunk::<4>().ok_or(DropReason::Corrupt)?;
-        let (life, rest) = rest.split_first_chunk::<8>().ok_or(DropReason::Corrupt)?;
-        let (number, content) = rest.split_first_chunk::<8>().ok_or(DropReason::Corrupt)?;
+        let (instance, rest) = rest.split_first_chunk::<8>().ok_or(DropReason::Corrupt)?;
+        let (sequence, content) = rest.split_first_chunk::<8>().ok_or(DropReason::Corrupt)?;
         let ours = u32::from_le_bytes(*cluster) == crc32fast::hash(self.cluster.as_bytes());
-        if checksum(&self.cluster, sealed) != u32::from_le_bytes(*told) {
-            // Another cluster's has another sum: it tells itself by the name's, where that came whole.
+        if checksum(&self.cluster, payload) != u32::from_le_bytes(*stored_checksum) {
+            // The checksum of another cluster's datagram differs too; the CRC of the name tells the two
+            // apart, if intact.
             return Err(if ours { DropReason::Corrupt } else { DropReason::Foreign });
         }
         if *version > VERSION {
             return Err(DropReason::Newer);
         }
-        let (life, number) = (u64::from_le_bytes(*life), u64::from_le_bytes(*number));
-        if life == self.life || !self.is_new(now, life, number) {
+        let (instance, sequence) = (u64::from_le_bytes(*instance), u64::from_le_bytes(*sequence));
+        if instance == self.instance || !self.is_new(now, instance, sequence) {
             Err(DropReason::Old)
         } else {
             Ok(content)
         }
     }
 
-    fn is_new(&mut self, now: Duration, life: u64, number: u64) -> bool {
-        if self.lives.len() > LIVES {
-            self.lives.retain(|_, life| now.saturating_sub(life.heard) < FORGET);
+    fn is_new(&mut self, now: Duration, instance: u64, sequence: u64) -> bool {
+        if self.senders.len() > MIN_SENDERS {
+            self.senders.retain(|_, sender| now.saturating_sub(sender.last_received) < SENDER_RETENTION);
         }
-        match self.lives.entry(life) {
+        match self.senders.entry(instance) {
             Entry::Vacant(entry) => {
-                entry.insert(Life { seen: SequenceWindow::first(number), heard: now });
+                entry.insert(Sender { seen: SequenceWindow::first(sequence), last_received: now });
                 true
             }
             Entry::Occupied(entry) => {
-                let life = entry.into_mut();
-                life.heard = now;
-                life.seen.insert(number)
+                let sender = entry.into_mut();
+                sender.last_received = now;
+                sender.seen.insert(sequence)
             }
         }
     }
--- a/src/fleet/members/mod.rs
+++ b/src/fleet/members/mod.rs
@@ -1,13 +1,14 @@
-//! Who is there: SWIM with suspicion by a kept crate (foca), in frames of our own, with what follows for shares.
+//! Membership: SWIM with suspicion by a maintained crate (foca), in frames of our own, and the number of
+//! processes that share the work.
 //!
-//! `peer` is who a process is to the others, `datagram` the frame and what is dropped at it, `swim` the crate with its
-//! timers on a clock that stands while the process does, `roster` what is known of whom and how many share the work, `starts`
-//! what is remembered of their state folders.
+//! `peer` is the identity of a process, `datagram` the frame and its validation, `swim` the crate with its
+//! timers on a clock that stops while the process is stalled, `roster` the known members and how many share
+//! the work, and `start_history` the latest starts on their state folders.
 
 mod datagram;
 mod peer;
 mod roster;
-mod starts;
+mod start_history;
 mod swim;
 
 pub use datagram::{DropReason, MAX_DATAGRAM_BYTES};
--- a/src/fleet/members/peer.rs
+++ b/src/fleet/members/peer.rs
@@ -1,46 +1,49 @@
-//! Who a process is to the others of its fleet.
+//! The identity of a process in its fleet.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Bytes of a process's name and of its zone's, each: two of them and what is told of others fit a datagram.
+/// Limit on the name of a process and on the name of its zone, each, in bytes: two of each fit into a
+/// datagram together with gossip about other members.
 pub const MAX_NAME_BYTES: usize = 120;
-/// A process that its peers believe to be an older one gains on them by doubling steps; these are enough for any clock.
-const STEPS_MOST: u8 = 48;
+/// Limit on the exponent of the step by which a process raises its generation when its peers know a later
+/// one; enough for any clock error.
+const MAX_STEP_EXPONENT: u8 = 48;
 
 /// A start of a process on its state folder, once it is durable there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
-    /// Drawn once for a folder.
+    /// Random id, drawn once per folder.
     pub folder: u128,
-    /// Starts on it, this one included.
+    /// Number of starts on the folder, including this one.
     pub number: u64,
-    /// Milliseconds since 1970 by the process's clock: tells two starts of one number apart.
+    /// Milliseconds since 1970 by the process's clock; distinguishes two starts with the same number.
     pub at: u64,
 }
 
-/// A process of the fleet, as it says of itself. Two with one address are lives of one process: the later one counts.
+/// The identity that a process of the fleet announces. Two with one address are starts of one process: the
+/// later one counts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Where others reach it.
+    /// The address at which others reach it.
     pub address: SocketAddr,
     /// Its name in its configuration.
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// Goes up with each life of it: the milliseconds since 1970 at its start, where its clock was right.
+    /// Increases with each start of the process: the milliseconds since 1970 at its start, by its clock.
     pub generation: u64,
-    /// How often it had to claim a later generation, as its peers remembered this one as gone.
+    /// How often it had to take a later generation because its peers had declared this one down.
     pub claims: u8,
-    /// It has said that it leaves.
+    /// It has announced that it leaves.
     pub leaving: bool,
-    /// Its start, where it keeps a state.
+    /// Its start, if it persists state.
     pub start: Option<Start>,
 }
 
 impl Peer {
-    /// Somebody at this address, of whom nothing else is known.
+    /// A peer of which only the address is known.
     pub(super) fn at(address: SocketAddr) -> Self {
         let (name, zone, generation, claims, leaving, start) = Default::default();
         Peer { address, name, zone, generation, claims, leaving, start }
@@ -50,10 +53,11 @@
 impl Identity for Peer {
     type Addr = SocketAddr;
 
-    /// Peers remember this life as gone. Its clock may have been put back since the one that they remember: the steps
-    /// double, so that it passes that one soon however far back.
+    /// Called when peers have declared this generation down. The clock may have been set back since the
+    /// generation that they remember: the steps double, so that it is soon exceeded however far the clock
+    /// was set back.
     fn renew(&self) -> Option<Self> {
-        let step = 1 << self.claims.min(STEPS_MOST);
+        let step = 1 << self.claims.min(MAX_STEP_EXPONENT);
         let generation = self.generation.saturating_add(step);
         (!self.leaving).then(|| Peer { generation, claims: self.claims.saturating_add(1), ..self.clone() })
     }
--- a/src/fleet/members/roster.rs
+++ b/src/fleet/members/roster.rs
@@ -1,67 +1,70 @@
-//! What is known of whom, and how many share the work.
+//! The known members, and the number of processes that share the work.
 //!
-//! Each process takes one part in so many of what a zone's endpoints can do. To count too few is to send too much, so
-//! whoever comes counts at once, and who is not heard of only where that is safe:
+//! Each process uses an equal share of the capacity of a zone's endpoints. Counting too few processes
+//! overloads the endpoints, so members that join count at once, and lost members are left out only where
+//! that is safe:
 //!
-//! | what happened | counted | parts of all add up to |
+//! | event | counted | sum of all shares |
 //! | --- | --- | --- |
-//! | somebody joins | at once | 1 or less |
-//! | somebody has said that it leaves | no longer, at once | 1 |
-//! | some are lost, more than half are here | those that are here | less than 1.5: who is away counts all that it knew |
-//! | half or more are lost | all that were known | 1 or less here; less than 1.5 in all, as above |
-//! | all of a start: nobody heard yet | as configured | 1 |
-//! | a majority has been without some for [`SETTLED`] | those are forgotten: half of the rest is the next bound | less than 2 with two cuts, one inside the other |
+//! | a member joins | it counts at once | 1 or less |
+//! | a member announces that it leaves | it no longer counts, at once | 1 |
+//! | members are lost, more than half are up | those that are up | less than 1.5: each lost one counts all that it knew |
+//! | half or more are lost | all that were known | 1 or less on this side; less than 1.5 in all, as above |
+//! | all start, no member known yet | the configured number | 1 |
+//! | a majority has been without some members for [`FORGET_LOST_AFTER`] | those are forgotten: half of the rest is the next bound | less than 2 with two partitions, one inside the other |
 //!
-//! The policy sends cold endpoints half of what makes them fall (`COLD_CAUTION`), so 2 is what may be.
+//! The policy sends endpoints in slow start half of the load that makes them fail (`SLOW_START_CAUTION`), so a sum
+//! of up to 2 is safe.
 
 use super::peer::Peer;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// With no change for so long, and nobody suspected, the view has converged.
-const CALM: Duration = Duration::from_secs(2);
-/// A majority that has been without some for so long goes on without them. Longer than most cuts, shorter than the time
-/// in which machines that crashed are replaced under other addresses until half would be such.
-const SETTLED: Duration = Duration::from_secs(300);
-/// A process that starts gives the others so long to be heard of before it speaks of a split.
-const GATHER: Duration = Duration::from_secs(5);
-/// Names that a view tells of those that are away.
-const NAMED: usize = 8;
+/// The view has converged once there was no change for this long and no member is suspected.
+const CONVERGED_AFTER: Duration = Duration::from_secs(2);
+/// A majority forgets members that have been lost for this long. Longer than most partitions, and shorter
+/// than the time in which half of the known members would be crashed machines that were replaced under
+/// other addresses.
+const FORGET_LOST_AFTER: Duration = Duration::from_secs(300);
+/// A process that starts reports no split for this long, until the other members are known.
+const STARTUP_GRACE: Duration = Duration::from_secs(5);
+/// Limit on the names of lost members in a view.
+const MAX_LOST_NAMES: usize = 8;
 
 /// How the view of the fleet stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Nothing changes, and more than half are here.
+    /// Membership is stable, and more than half of the known members are up.
     Converged,
-    /// Somebody came, went or is suspected, less than 2 s ago.
+    /// A member joined, left or was lost less than 2 s ago, or is suspected.
     Converging,
-    /// Half or more of those known are away, or this process is.
+    /// Half or more of the known members are lost, or this process is cut off.
     Split,
 }
 
-/// How things are.
+/// The membership as this process sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct View {
-    /// How the view stands ...
+    /// Whether the membership has converged ...
     pub standing: Standing,
     /// ... and since when, on the caller's clock.
     pub since: Duration,
-    /// Processes that are here, this one included.
+    /// Number of processes that are up, including this one.
     pub living: usize,
-    /// Those among them that somebody suspects to be gone.
+    /// Number of those that are suspected to be down.
     pub suspects: usize,
-    /// Processes that count as the fleet: those here, and those away that may come back.
+    /// Number of processes that count as the fleet: those up, and those lost that may come back.
     pub known: usize,
-    /// Processes that share the work, as the policy is told.
+    /// Number of processes that share the work, as passed to the policy.
     pub balancers: usize,
-    /// Names of some that are away; there are `known - living`.
+    /// Names of some of the lost members; there are `known - living` in all.
     pub away: Vec<String>,
-    /// Names that two processes here have.
+    /// Names that two processes that are up have in common.
     pub duplicate_names: Vec<String>,
 }
 
-/// What became of a process.
+/// A change in the membership of one process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Change {
     Joined(Peer),
@@ -69,108 +72,108 @@
     Lost(Peer),
 }
 
-/// Everybody that was here, by address.
+/// All members that have been up, by address.
 pub(super) struct Roster {
     me: Peer,
-    began: Duration,
-    /// As many as there should be, before they are heard of.
+    started: Duration,
+    /// The configured number of processes, until they are known.
     expected: usize,
     others: BTreeMap<SocketAddr, Entry>,
     duplicate_names: Vec<String>,
-    look: u64,
+    check: u64,
     suspects: usize,
-    changed: Duration,
+    last_change: Duration,
     standing: Standing,
     since: Duration,
 }
 
 struct Entry {
     peer: Peer,
-    here: bool,
-    /// The last look at which it was.
-    look: u64,
+    up: bool,
+    /// The last check at which it was up.
+    check: u64,
 }
 
 impl Roster {
     pub(super) fn new(me: Peer, expected: usize, now: Duration) -> Self {
         let standing = if expected > 1 { Standing::Converging } else { Standing::Converged };
-        let (others, duplicate_names, look, suspects) = Default::default();
+        let (others, duplicate_names, check, suspects) = Default::default();
         Roster {
             me,
-            began: now,
+            started: now,
             expected,
             others,
             duplicate_names,
-            look,
+            check,
             suspects,
-            changed: now,
+            last_change: now,
             standing,
             since: now,
         }
     }
 
-    /// Takes who is here now, or has said that it leaves, and says what has changed.
-    pub(super) fn take<'a>(
+    /// Updates the members with those that are up or have announced leaving; returns the changes.
+    pub(super) fn update<'a>(
         &mut self,
         now: Duration,
-        here: impl Iterator<Item = &'a Peer>,
+        members: impl Iterator<Item = &'a Peer>,
         suspects: usize,
     ) -> Vec<Change> {
         let mut changes = Vec::new();
-        self.look += 1;
-        for peer in here {
+        self.check += 1;
+        for peer in members {
             match self.others.get_mut(&peer.address) {
-                // It has gone as soon as it says so, whatever still comes of it.
+                // It has left as soon as it announces so, even if messages from it still arrive.
                 Some(entry) if peer.leaving => entry.peer.leaving = true,
                 None if peer.leaving => {}
                 Some(entry) => {
                     if entry.peer != *peer {
                         entry.peer = peer.clone();
                     }
-                    if !std::mem::replace(&mut entry.here, true) {
+                    if !std::mem::replace(&mut entry.up, true) {
                         changes.push(Change::Joined(peer.clone()));
                     }
-                    entry.look = self.look;
+                    entry.check = self.check;
                 }
                 None => {
-                    let entry = Entry { peer: peer.clone(), here: true, look: self.look };
+                    let entry = Entry { peer: peer.clone(), up: true, check: self.check };
                     self.others.insert(peer.address, entry);
                     changes.push(Change::Joined(peer.clone()));
                 }
             }
         }
-        let (look, expected) = (self.look, &mut self.expected);
+        let (check, expected) = (self.check, &mut self.expected);
         self.others.retain(|_, entry| {
             if entry.peer.leaving {
                 changes.push(Change::Left(entry.peer.clone()));
                 *expected = expected.saturating_sub(1);
-            } else if entry.look != look && std::mem::replace(&mut entry.here, false) {
+            } else if entry.check != check && std::mem::replace(&mut entry.up, false) {
                 changes.push(Change::Lost(entry.peer.clone()));
             }
             !entry.peer.leaving
         });
         if !changes.is_empty() {
-            self.duplicate_names = self.names_twice();
+            self.duplicate_names = self.find_duplicate_names();
         }
         if !changes.is_empty() || suspects > self.suspects {
-            self.changed = now;
+            self.last_change = now;
         }
         self.suspects = suspects;
-        self.settle(now);
+        self.update_standing(now);
         changes
     }
 
-    fn settle(&mut self, now: Duration) {
-        let calm = now.saturating_sub(self.changed);
-        if calm >= SETTLED && self.is_majority() {
-            self.others.retain(|_, entry| entry.here);
+    fn update_standing(&mut self, now: Duration) {
+        let stable_for = now.saturating_sub(self.last_change);
+        if stable_for >= FORGET_LOST_AFTER && self.is_majority() {
+            self.others.retain(|_, entry| entry.up);
             self.expected = self.living();
         }
-        let quiet = calm >= CALM && self.suspects == 0;
-        let gathering = now.saturating_sub(self.began) < GATHER;
+        let stable = stable_for >= CONVERGED_AFTER && self.suspects == 0;
+        let starting = now.saturating_sub(self.started) < STARTUP_GRACE;
         let standing = match self.is_majority() {
-            true if quiet => Standing::Converged,
-            false if !gathering => Standing::Split,
+            true if stable => Standing::Converged,
+            false if !starting => Standing::Split,
             _ => Standing::Converging,
         };
         if std::mem::replace(&mut self.standing, standing) != standing {
@@ -179,7 +182,7 @@
     }
 
     fn living(&self) -> usize {
-        1 + self.others.values().filter(|entry| entry.here).count()
+        1 + self.others.values().filter(|entry| entry.up).count()
     }
 
     fn known(&self) -> usize {
@@ -190,9 +193,9 @@
         self.living() * 2 > self.known()
     }
 
-    fn names_twice(&self) -> Vec<String> {
-        let here = self.others.values().filter(|entry| entry.here).map(|entry| &entry.peer);
-        let mut names: Vec<&str> = here.chain([&self.me]).map(|peer| peer.name.as_str()).collect();
+    fn find_duplicate_names(&self) -> Vec<String> {
+        let up = self.others.values().filter(|entry| entry.up).map(|entry| &entry.peer);
+        let mut names: Vec<&str> = up.chain([&self.me]).map(|peer| peer.name.as_str()).collect();
         names.sort_unstable();
         let pairs = names.windows(2).filter(|pair| pair[0] == pair[1]);
         let mut duplicate_names: Vec<String> = pairs.map(|pair| pair[0].to_owned()).collect();
@@ -202,7 +205,7 @@
 
     pub(super) fn view(&self) -> View {
         let (living, known) = (self.living(), self.known());
-        let away = self.others.values().filter(|entry| !entry.here).map(|entry| entry.peer.name.clone());
+        let away = self.others.values().filter(|entry| !entry.up).map(|entry| entry.peer.name.clone());
         View {
             standing: self.standing,
             since: self.since,
@@ -210,7 +213,7 @@
             suspects: self.suspects,
             known,
             balancers: if self.is_majority() { living } else { known },
-            away: away.take(NAMED).collect(),
+            away: away.take(MAX_LOST_NAMES).collect(),
             duplicate_names: self.duplicate_names.clone(),
         }
     }
