--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,5 +1,6 @@
-//! The log: lines with a level, a target and fields, on standard error. A thread of its own writes them; the one
-//! that serves hands them over and never waits: where nobody reads, lines are dropped and counted.
+//! Logging to standard error: lines with a level, a target and fields. A dedicated thread writes them; the thread
+//! that serves requests queues them and never blocks: when standard error is not read, lines are dropped and
+//! counted.
 
 use gullpulley::config::Log;
 use std::io::{self, IsTerminal, Stderr, Write};
@@ -13,39 +14,39 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{Registry, fmt, reload};
 
-/// Lines that wait to be written; one more is dropped.
-const LINES_MOST: usize = 1024;
-/// At the end the last lines are waited for no longer than this: nobody may be reading.
-const LAST_LINES: Duration = Duration::from_millis(300);
+/// Lines queued for the writer thread; a line that finds the queue full is dropped.
+const MAX_QUEUED_LINES: usize = 1024;
+/// How long shutdown waits for the queued lines to be written: standard error may have no reader.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Why there is no log.
+/// Why logging could not be started or its level not be changed.
 #[derive(Debug, Error)]
 pub enum LogError {
-    /// The level is none.
-    #[error("log.level: `{0}` is no level")]
-    Level(String),
-    /// There is one already, or it could not be changed.
-    #[error("the log: {0}")]
-    Set(String),
+    /// The text is neither a level nor a list of levels by target.
+    #[error("log.level: `{0}` is not a valid level")]
+    InvalidLevel(String),
+    /// A global subscriber is already installed, or the level filter could not be replaced.
+    #[error("logging: {0}")]
+    Subscriber(String),
 }
 
-/// The log of this process.
+/// Logging of this process, with the thread that writes the lines.
 pub struct Logging {
     worker: WorkerGuard,
     handle: LogHandle,
 }
 
-/// What may be asked of the log while it runs.
+/// Changes the log level and reads the count of dropped lines while the process runs.
 #[derive(Clone)]
 pub struct LogHandle {
-    levels: reload::Handle<Targets, Registry>,
+    filter: reload::Handle<Targets, Registry>,
     dropped: ErrorCounter,
 }
 
-/// Standard error. A closed one is no fault of a line, and nobody could be told.
-struct Sink(Stderr);
+/// Standard error without write errors: when it is closed, there is nowhere left to report that.
+struct BestEffortStderr(Stderr);
 
-impl Write for Sink {
+impl Write for BestEffortStderr {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         Ok(self.0.write(bytes).unwrap_or(bytes.len()))
     }
@@ -56,56 +57,56 @@
 }
 
 impl Logging {
-    /// Starts it: from now on every line goes there.
+    /// Installs the global subscriber: every line logged from now on goes to standard error.
     pub fn start(log: &Log) -> Result<Self, LogError> {
-        let (levels, handle) = reload::Layer::new(targets(&log.level)?);
-        let builder = NonBlockingBuilder::default().buffered_lines_limit(LINES_MOST).lossy(true);
-        let (writer, worker) = builder.thread_name("log").finish(Sink(io::stderr()));
-        let handle = LogHandle { levels: handle, dropped: writer.error_counter() };
-        let registry = tracing_subscriber::registry().with(levels);
-        let lines = fmt::layer().with_writer(writer);
-        let set = if log.json {
-            let lines = lines.json().flatten_event(true).with_current_span(false).with_span_list(false);
-            registry.with(lines).try_init()
+        let (filter, filter_handle) = reload::Layer::new(parse_targets(&log.level)?);
+        let builder = NonBlockingBuilder::default().buffered_lines_limit(MAX_QUEUED_LINES).lossy(true);
+        let (writer, worker) = builder.thread_name("log").finish(BestEffortStderr(io::stderr()));
+        let handle = LogHandle { filter: filter_handle, dropped: writer.error_counter() };
+        let registry = tracing_subscriber::registry().with(filter);
+        let layer = fmt::layer().with_writer(writer);
+        let installed = if log.json {
+            let layer = layer.json().flatten_event(true).with_current_span(false).with_span_list(false);
+            registry.with(layer).try_init()
         } else {
-            registry.with(lines.with_ansi(io::stderr().is_terminal())).try_init()
+            registry.with(layer.with_ansi(io::stderr().is_terminal())).try_init()
         };
-        set.map_err(|e| LogError::Set(e.to_string()))?;
+        installed.map_err(|e| LogError::Subscriber(e.to_string()))?;
         Ok(Logging { worker, handle })
     }
 
-    /// What may be asked of it.
+    /// A handle for use while the process runs.
     pub fn handle(&self) -> LogHandle {
         self.handle.clone()
     }
 
-    /// Writes what is left, as far as somebody reads.
-    pub fn end(self) {
-        let (over, waiting) = mpsc::channel::<()>();
-        // Where nobody reads, the worker's own end waits for a second and then writes of that to standard output,
-        // which may be the same pipe: the process must not hang there.
-        let ending = thread::Builder::new().spawn(move || {
+    /// Stops the writer thread once it has written the queued lines, or gives up on it after `FLUSH_TIMEOUT`.
+    pub fn shutdown(self) {
+        let (done_sender, done_receiver) = mpsc::channel::<()>();
+        // When standard error is not read, dropping the worker guard waits for a second and then reports the
+        // time-out on standard output, which may be the same pipe: the process must not hang there.
+        let flusher = thread::Builder::new().spawn(move || {
             drop(self.worker);
-            drop(over);
+            drop(done_sender);
         });
-        if ending.is_ok() {
-            let _ = waiting.recv_timeout(LAST_LINES);
+        if flusher.is_ok() {
+            let _ = done_receiver.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
 impl LogHandle {
-    /// Changes the level, or levels by target.
+    /// Sets the level, or a list of levels by target.
     pub fn set_level(&self, level: &str) -> Result<(), LogError> {
-        self.levels.reload(targets(level)?).map_err(|e| LogError::Set(e.to_string()))
+        self.filter.reload(parse_targets(level)?).map_err(|e| LogError::Subscriber(e.to_string()))
     }
 
-    /// Lines dropped since the start, as nobody read.
+    /// Lines dropped since the start because the queue was full.
     pub fn dropped(&self) -> u64 {
         self.dropped.dropped_lines() as u64
     }
 }
 
-fn targets(level: &str) -> Result<Targets, LogError> {
-    level.parse().map_err(|_| LogError::Level(level.to_owned()))
+fn parse_targets(level: &str) -> Result<Targets, LogError> {
+    level.parse().map_err(|_| LogError::InvalidLevel(level.to_owned()))
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -250,7 +250,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(|e| Ended(FAILED, e.to_string()))?;
     let served = LocalSet::new().block_on(&runtime, net::run(config, file, log.handle()));
-    log.end();
+    log.shutdown();
     served.map_err(|problem| Ended(FAILED, problem))
 }
 
