--- a/src/main.rs
+++ b/src/main.rs
@@ -1,13 +1,13 @@
 //! `gullpulley`: the command line and nothing else. The sidecar is in `net/`, its decisions in the library.
 #![forbid(unsafe_code)]
 
-mod door;
+mod admin_client;
 mod logging;
 mod net;
 
+use admin_client::AdminError;
 use clap::{Args, CommandFactory, Parser, Subcommand, ValueEnum};
 use clap_complete::Shell;
-use door::DoorError;
 use gullpulley::config::{Config, ConfigError, Vars, keys};
 use logging::Logging;
 use std::fmt::Display;
@@ -160,14 +160,14 @@
             Ok(())
         }
         Some(Command::Config { what: Shown::Show { file } }) => show(file),
-        Some(Command::Status { at, json }) => at.ask(|door| door::status(door, json)),
+        Some(Command::Status { at, json }) => at.ask(|door| admin_client::status(door, json)),
         Some(Command::Suspend { at, uid }) => {
-            at.ask(|door| door::post(door, &format!("endpoints/{uid}/suspend")))
+            at.ask(|door| admin_client::post(door, &format!("endpoints/{uid}/suspend")))
         }
         Some(Command::Resume { at, uid }) => {
-            at.ask(|door| door::post(door, &format!("endpoints/{uid}/resume")))
+            at.ask(|door| admin_client::post(door, &format!("endpoints/{uid}/resume")))
         }
-        Some(Command::Drain { at }) => at.ask(|door| door::post(door, "drain")),
+        Some(Command::Drain { at }) => at.ask(|door| admin_client::post(door, "drain")),
         Some(Command::Completions { shell }) => {
             let mut script = Vec::new();
             clap_complete::generate(shell, &mut Cli::command(), "gullpulley", &mut script);
@@ -202,12 +202,12 @@
     std::env::var_os("ROUTER_CONFIG").map(PathBuf::from)
 }
 
-impl From<DoorError> for Ended {
-    fn from(error: DoorError) -> Self {
+impl From<AdminError> for Ended {
+    fn from(error: AdminError) -> Self {
         let code = match error {
-            DoorError::Call(_) => AT_FAULT,
-            DoorError::Unreached(..) => UNREACHED,
-            DoorError::Refused(..) => FAILED,
+            AdminError::InvalidRequest(_) => AT_FAULT,
+            AdminError::NoAnswer(..) => UNREACHED,
+            AdminError::Refused(..) => FAILED,
         };
         Ended(code, error.to_string())
     }
@@ -215,7 +215,7 @@
 
 impl At {
     /// Asks the door, and shows what it answers.
-    fn ask(&self, call: impl FnOnce(SocketAddr) -> Result<String, DoorError>) -> Result<(), Ended> {
+    fn ask(&self, call: impl FnOnce(SocketAddr) -> Result<String, AdminError>) -> Result<(), Ended> {
         let answer = call(self.address()?)?;
         say(io::stdout(), &answer.trim_end());
         Ok(())
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -51,7 +51,7 @@
         (&["status"], 2, "--door ADDRESS"),
         (&["status", "--config", &right], 2, "listen.operators: there is no door"),
         (&["status", "--door", &nobody], 3, "refused"),
-        (&["suspend", "--door", &nobody, "a b"], 2, "this can't be asked of a door"),
+        (&["suspend", "--door", &nobody, "a b"], 2, "invalid request to the admin API"),
         (&["completions", "bash"], 0, "complete -F"),
     ] {
         let (ended, told) = said(&run(arguments));
