--- a/src/config/keys.rs
+++ b/src/config/keys.rs
@@ -139,7 +139,7 @@
 pub const RESERVED: &[&str] = &["zones", "duties"];
 
 /// What may change while the process runs; all else needs a restart.
-pub const LIVE: &[&str] = &["discovery.address", "log.level"];
+pub const RELOADABLE: &[&str] = &["discovery.address", "log.level"];
 
 impl Kind {
     /// What would be right.
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -25,13 +25,13 @@
 use std::time::Duration;
 
 /// Descriptors kept free for the listener, the runtime, standard streams, discovery and shed clients.
-pub const RESERVE: usize = 48;
+pub const RESERVED_SOCKETS: usize = 48;
 /// Callers that the operators' door holds at once.
-pub const DOOR_MOST: usize = 24;
+pub const ADMIN_MAX_CONNECTIONS: usize = 24;
 /// Descriptors kept free for the operators' door, where there is one: its listener and its callers.
-pub const DOOR_RESERVE: usize = DOOR_MOST + 2;
+pub const ADMIN_RESERVED_SOCKETS: usize = ADMIN_MAX_CONNECTIONS + 2;
 /// Fewer descriptors than this leave nothing to serve with.
-pub const LEAST_SOCKETS: usize = RESERVE + 16;
+pub const MIN_SOCKETS: usize = RESERVED_SOCKETS + 16;
 /// A file that changes while it is read is read again, so often at most.
 const READS: usize = 5;
 
@@ -55,7 +55,7 @@
     /// The endpoint list as last held; may be old.
     pub known: List,
     /// What is wrong with that list, where it can't be read: it is then empty.
-    pub unread: Vec<Fault>,
+    pub list_faults: Vec<Fault>,
     /// The module's settings.
     pub settings: Settings,
     /// Names on the wire of what the module knows by number.
@@ -116,14 +116,14 @@
 
 impl Vars {
     /// This process's own.
-    pub fn of_process() -> Self {
+    pub fn from_environment() -> Self {
         let all = std::env::vars_os().filter_map(|(name, value)| Some((name.into_string().ok()?, value)));
         let heeded = all.filter(|(name, _)| name.starts_with("ROUTER_") || name.starts_with("GULLPULLEY_"));
         Vars(heeded.map(|(name, value)| (name, value.to_string_lossy().into_owned())).collect())
     }
 
     /// Without where discovery was at the start: after a change the file says where it is by now.
-    pub fn after_the_start(mut self) -> Self {
+    pub fn without_initial_discovery(mut self) -> Self {
         self.0.remove("ROUTER_DISCOVERY");
         self
     }
@@ -264,8 +264,8 @@
 }
 
 /// Descriptors without which there is nothing to serve with.
-fn least_sockets(door: bool) -> usize {
-    LEAST_SOCKETS + if door { DOOR_RESERVE } else { 0 }
+fn min_sockets(door: bool) -> usize {
+    MIN_SOCKETS + if door { ADMIN_RESERVED_SOCKETS } else { 0 }
 }
 
 /// A time as an operator writes it.
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -311,7 +311,7 @@
         fault(once, "", "place.tier", format!("{tier} is none of {tiers}"), "count from 0");
     }
     in_fleet(once, &mut fault);
-    let least = super::least_sockets(once.0.contains_key("listen.operators"));
+    let least = super::min_sockets(once.0.contains_key("listen.operators"));
     if once.whole("process.sockets") < least as u64 {
         let problem = format!("{} are too few to serve with", once.whole("process.sockets"));
         fault(once, "", "process.sockets", problem, &format!("at least {least} are needed"));
@@ -472,7 +472,7 @@
         sockets: once.whole("process.sockets") as usize,
         memory_mb: once.whole("process.memory_mib") as usize,
         known: known(),
-        unread: Vec::new(),
+        list_faults: Vec::new(),
         settings,
         names: Names {
             classes: named(classes),
--- a/src/config/router.rs
+++ b/src/config/router.rs
@@ -4,7 +4,7 @@
 use super::fault::{ConfigError, Fault, in_order, line};
 use super::keys::{CLASS_KEYS, KEYS, Key, TENANT_KEYS};
 use super::layers::PLATFORM;
-use super::{Config, List, Log, Names, Vars, least_sockets, platform};
+use super::{Config, List, Log, Names, Vars, min_sockets, platform};
 use serde::Deserialize;
 use serde::de::{Deserializer, Error, Unexpected};
 use serde_json::Value;
@@ -59,7 +59,7 @@
             // The last list is no setting: a sidecar that can't read it learns what there is from discovery.
             let of_list = |fault: &Fault| fault.key.split(['.', '[']).next() == Some("known");
             match without_list(text, vars).filter(|_| error.0.iter().all(of_list)) {
-                Some(config) => Ok(Config { unread: error.0, ..config }),
+                Some(config) => Ok(Config { list_faults: error.0, ..config }),
                 None => Err(error),
             }
         }
@@ -180,7 +180,7 @@
         Some(text) => Some(address("control", Some(text))?),
         None => None,
     };
-    let least = least_sockets(control.is_some());
+    let least = min_sockets(control.is_some());
     if file.limits.sockets < least {
         return Err(("limits.sockets".to_owned(), format!("at least {least} are needed")));
     }
@@ -197,7 +197,7 @@
         sockets: file.limits.sockets,
         memory_mb: file.limits.memory_mb as usize,
         known: file.known,
-        unread: Vec::new(),
+        list_faults: Vec::new(),
         settings,
         names,
         log: file.log,
--- a/src/main.rs
+++ b/src/main.rs
@@ -233,7 +233,7 @@
 }
 
 fn load(file: &Path) -> Result<Config, Ended> {
-    Config::load(file, &Vars::of_process()).map_err(|faults| Ended(AT_FAULT, faults.to_string()))
+    Config::load(file, &Vars::from_environment()).map_err(|faults| Ended(AT_FAULT, faults.to_string()))
 }
 
 fn run(args: &Run) -> Result<(), Ended> {
@@ -244,7 +244,7 @@
     config.log.level = args.log_level.clone().unwrap_or(config.log.level);
     config.log.json = args.log_format.map_or(config.log.json, |format| format == Format::Json);
     let log = Logging::start(&config.log).map_err(|e| Ended(AT_FAULT, e.to_string()))?;
-    for fault in &config.unread {
+    for fault in &config.list_faults {
         warn!("{fault}; no endpoint is known until discovery tells");
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -260,8 +260,8 @@
     let mut faults = Vec::new();
     for (file, config) in read {
         match config {
-            Ok(config) if !config.unread.is_empty() => {
-                faults.push(ConfigError(config.unread).to_string());
+            Ok(config) if !config.list_faults.is_empty() => {
+                faults.push(ConfigError(config.list_faults).to_string());
             }
             Ok(_) => say(io::stdout(), &format_args!("{}: right", file.display())),
             Err(error) => faults.push(error.to_string()),
@@ -273,7 +273,7 @@
 fn show(file: Option<PathBuf>) -> Result<(), Ended> {
     let file = file.or_else(told);
     let file = file.ok_or_else(|| Ended(AT_FAULT, "name a file".to_owned()))?;
-    let (config, vars) = (load(&file)?, Vars::of_process());
+    let (config, vars) = (load(&file)?, Vars::from_environment());
     let origins = config.origins(&file, &vars);
     for (key, value) in config.entries() {
         let origin = origins.get(&key).map_or("default", String::as_str);
--- a/src/net/budget.rs
+++ b/src/net/budget.rs
@@ -1,7 +1,7 @@
 //! Limits on sockets and memory: every client and endpoint connection holds a permit, so that the limits on
 //! descriptors and memory are enforced by counting. A request in progress holds one too, for its memory.
 
-use gullpulley::config::RESERVE;
+use gullpulley::config::RESERVED_SOCKETS;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
@@ -50,7 +50,7 @@
 impl Budget {
     /// A budget for this many descriptors and MiB of memory.
     pub fn new(sockets: usize, memory_mb: usize) -> Rc<Self> {
-        let total = sockets.saturating_sub(RESERVE);
+        let total = sockets.saturating_sub(RESERVED_SOCKETS);
         // An attempt needs a socket too: clients must not use up the sockets that their own requests need.
         // Most connections are idle or silent at any time, and take far less memory than a request in
         // progress.
--- a/src/net/control.rs
+++ b/src/net/control.rs
@@ -6,7 +6,7 @@
 use super::inbound::Inbound;
 use super::manual_ejections::{ManualEjectionError, ManualEjectionStore, ManualEjections, Order, Version};
 use super::message::{Inbox, Input};
-use gullpulley::config::DOOR_MOST;
+use gullpulley::config::ADMIN_MAX_CONNECTIONS;
 use gullpulley::{BalancerStats, TcpConnection};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
@@ -163,7 +163,7 @@
     fn admit(self: &Rc<Self>, stream: TcpStream) {
         let mut connections = self.connections.borrow_mut();
         connections.retain(|connection| !connection.closed.get());
-        if connections.len() >= DOOR_MOST {
+        if connections.len() >= ADMIN_MAX_CONNECTIONS {
             match connections.iter().position(|connection| !connection.received.get()) {
                 Some(unanswered) => drop(connections.remove(unanswered)),
                 None => return, // all calls are being answered
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -50,7 +50,7 @@
 use discovery_health::DiscoveryHealth;
 use driver::{Driver, DriverContext};
 use gullpulley::config::{
-    Config, ConfigError, DOOR_RESERVE, Difference, Fault, Named, Vars, differences, keys,
+    ADMIN_RESERVED_SOCKETS, Config, ConfigError, Difference, Fault, Named, Vars, differences, keys,
 };
 use gullpulley::{Balancer, is_local_failure};
 use hot_restart::ProcessRegistration;
@@ -117,7 +117,7 @@
     let clock = Clock::start();
     let balancer =
         Balancer::new(settings.clone(), seed, clock.now()).map_err(|e| format!("settings: {e}"))?;
-    let sockets = sockets - control.map_or(0, |_| DOOR_RESERVE);
+    let sockets = sockets - control.map_or(0, |_| ADMIN_RESERVED_SOCKETS);
     let budget = Budget::new(sockets, memory_mb);
     let (inbox, inputs) = mpsc::unbounded_channel();
     let (commands, received_commands) = mpsc::unbounded_channel();
@@ -366,7 +366,9 @@
         loop {
             let file = self.file.clone();
             // A slow disk must not delay requests.
-            let read = spawn_blocking(move || Config::load(&file, &Vars::of_process().after_the_start()));
+            let read = spawn_blocking(move || {
+                Config::load(&file, &Vars::from_environment().without_initial_discovery())
+            });
             let read = read.await.unwrap_or_else(|e| Err(Fault::new("", "", e, "").into()));
             attempts_made += 1;
             if read.is_ok() || attempts_made == RELOAD_ATTEMPTS {
@@ -379,7 +381,7 @@
     fn apply(&mut self, config: Config, commands: &mpsc::UnboundedSender<DiscoveryCommand>) {
         for Difference { key, before, after } in differences(&self.in_force, &config.entries()) {
             let [before, after] = [&before, &after].map(|value| value.as_deref().unwrap_or("unsaid"));
-            if keys::LIVE.contains(&key.as_str()) {
+            if keys::RELOADABLE.contains(&key.as_str()) {
                 if key == "log.level"
                     && let Err(problem) = self.log.set_level(&config.log.level)
                 {
