--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! One typed configuration, from the platform's JSON (`router`, with the settings object in `platform`) or from
-//! an operator's TOML (`layers`, `operator`, by the tables in `keys`). What is wrong is said in full, with its place.
+//! One typed configuration, read from the platform's JSON (`router`, with the settings object in `platform`) or
+//! from an operator's TOML (`layers`, `operator`, by the tables in `keys`). All faults are reported, with locations.
 
 mod fault;
 pub mod keys;
@@ -24,59 +24,59 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Descriptors kept free for the listener, the runtime, standard streams, discovery and shed clients.
+/// File descriptors reserved for the listener, the runtime, standard streams, discovery and shed clients.
 pub const RESERVED_SOCKETS: usize = 48;
-/// Callers that the operators' door holds at once.
+/// Maximum number of concurrent connections to the admin API.
 pub const ADMIN_MAX_CONNECTIONS: usize = 24;
-/// Descriptors kept free for the operators' door, where there is one: its listener and its callers.
+/// File descriptors reserved for the admin API, if enabled: its listener and its connections.
 pub const ADMIN_RESERVED_SOCKETS: usize = ADMIN_MAX_CONNECTIONS + 2;
-/// Fewer descriptors than this leave nothing to serve with.
+/// With fewer file descriptors than this, none would be left to serve requests with.
 pub const MIN_SOCKETS: usize = RESERVED_SOCKETS + 16;
-/// A file that changes while it is read is read again, so often at most.
-const READS: usize = 5;
+/// Maximum number of reads of a file that changes while it is read.
+const MAX_READS: usize = 5;
 
 /// A sidecar's whole configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name, for the log.
+    /// The sidecar's name in log lines.
     pub name: String,
-    /// Where clients connect.
+    /// Listen address for clients.
     pub listen: SocketAddr,
-    /// Where the operators' door listens; without it there is none.
+    /// Listen address of the admin API; `None` disables it.
     pub control: Option<SocketAddr>,
-    /// Where discovery listens.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// For random numbers; new with each start.
+    /// Seed of the random number generator; new at each start unless configured.
     pub seed: u64,
-    /// Descriptors it may hold.
+    /// Maximum number of open file descriptors.
     pub sockets: usize,
-    /// Memory it may use, in MiB.
+    /// Memory limit, in MiB.
     pub memory_mb: usize,
-    /// The endpoint list as last held; may be old.
+    /// The last known endpoint list; may be stale.
     pub known: List,
-    /// What is wrong with that list, where it can't be read: it is then empty.
+    /// Faults of `known` if it could not be parsed; `known` is then empty.
     pub list_faults: Vec<Fault>,
-    /// The module's settings.
+    /// Settings of the policy.
     pub settings: Settings,
-    /// Names on the wire of what the module knows by number.
+    /// Wire names of the items that the policy identifies by index.
     pub names: Names,
-    /// How it logs.
+    /// Logging options.
     pub log: Log,
-    /// Its place among other processes; without it, it stays by itself.
+    /// Fleet membership; `None` if the process runs standalone.
     pub fleet: Option<Fleet>,
-    /// Where it keeps what must outlive the process; without it nothing is kept.
+    /// Directory of persisted state; with `None`, nothing is persisted.
     pub state: Option<PathBuf>,
-    /// Where values come from, as far as it was noted in reading.
+    /// Origin of each value by key, if it was recorded while reading.
     origins: Option<BTreeMap<String, String>>,
 }
 
-/// How a sidecar logs.
+/// Logging options of a sidecar.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct Log {
-    /// A level, or levels by target.
+    /// A log level, or log levels by target.
     pub level: String,
-    /// A JSON object a line, in place of text for people.
+    /// Writes one JSON object per line instead of human-readable text.
     #[serde(rename = "format", deserialize_with = "router::format")]
     pub json: bool,
 }
@@ -87,10 +87,10 @@
     }
 }
 
-/// The names behind the module's indices.
+/// The names of the items that the policy identifies by index.
 #[derive(Debug, Deserialize)]
 pub struct Names {
-    /// Classes, the first part of a request's path.
+    /// Request classes; the name is the first segment of a request's path.
     pub classes: Vec<Named>,
     /// Tenants.
     #[serde(default)]
@@ -103,26 +103,27 @@
     pub kinds: Vec<String>,
 }
 
-/// One entry of a named list.
+/// A named item of a list.
 #[derive(Debug, Deserialize)]
 pub struct Named {
     /// Its name.
     pub name: String,
 }
 
-/// The variables that a configuration heeds.
+/// The environment variables that override a configuration file.
 #[derive(Clone, Debug, Default)]
 pub struct Vars(pub BTreeMap<String, String>);
 
 impl Vars {
-    /// This process's own.
+    /// The variables of this process that start with `ROUTER_` or `GULLPULLEY_`.
     pub fn from_environment() -> Self {
         let all = std::env::vars_os().filter_map(|(name, value)| Some((name.into_string().ok()?, value)));
-        let heeded = all.filter(|(name, _)| name.starts_with("ROUTER_") || name.starts_with("GULLPULLEY_"));
-        Vars(heeded.map(|(name, value)| (name, value.to_string_lossy().into_owned())).collect())
+        let relevant =
+            all.filter(|(name, _)| name.starts_with("ROUTER_") || name.starts_with("GULLPULLEY_"));
+        Vars(relevant.map(|(name, value)| (name, value.to_string_lossy().into_owned())).collect())
     }
 
-    /// Without where discovery was at the start: after a change the file says where it is by now.
+    /// Drops the discovery address given at start: on a reload, the file has the current one.
     pub fn without_initial_discovery(mut self) -> Self {
         self.0.remove("ROUTER_DISCOVERY");
         self
@@ -134,17 +135,18 @@
 }
 
 impl Config {
-    /// Reads a file: TOML where its name ends so, or where it begins with no brace; else the platform's JSON.
-    /// Variables win over what it says.
+    /// Reads a file: as TOML if its extension is `toml` or it doesn't begin with a brace, else as the platform's
+    /// JSON. Environment variables override the file.
     pub fn load(file: &Path, vars: &Vars) -> Result<Self, ConfigError> {
-        let shown = file.display().to_string();
-        let text = settled(file).map_err(|e| Fault::new(&shown, "", e, "name a file that can be read"))?;
-        let toml =
-            file.extension().is_some_and(|ending| ending == "toml") || !text.trim_start().starts_with('{');
-        if toml { operator::read(&shown, &text, vars) } else { router::read(&shown, &text, vars) }
+        let file_name = file.display().to_string();
+        let text = read_consistent(file)
+            .map_err(|e| Fault::new(&file_name, "", e, "name a file that can be read"))?;
+        let toml = file.extension().is_some_and(|extension| extension == "toml")
+            || !text.trim_start().starts_with('{');
+        if toml { operator::read(&file_name, &text, vars) } else { router::read(&file_name, &text, vars) }
     }
 
-    /// What holds, by the keys of an operator's file in their order, each as it would be written there.
+    /// The effective values by key, in the order and notation of an operator's file.
     pub fn entries(&self) -> Vec<(String, String)> {
         let (limits, rules) = (&self.settings.limits, &self.settings.rules);
         let quoted = |text: &dyn std::fmt::Display| format!("{:?}", text.to_string());
@@ -153,7 +155,7 @@
         let mut entries =
             vec![("name", quoted(&self.name)), ("seed", quoted(&format!("{:016x}", self.seed)))];
         entries.push(("listen.clients", quoted(&self.listen)));
-        entries.extend(self.control.map(|door| ("listen.operators", quoted(&door))));
+        entries.extend(self.control.map(|address| ("listen.operators", quoted(&address))));
         if let Some(fleet) = &self.fleet {
             let seeds: Vec<String> = fleet.seeds.iter().map(SocketAddr::to_string).collect();
             entries.extend([
@@ -162,7 +164,7 @@
                 ("fleet.address", quoted(&fleet.address)),
                 ("fleet.seeds", format!("{seeds:?}")),
                 ("fleet.voters", format!("{:?}", fleet.voters)),
-                ("fleet.round_trip", time(fleet.round_trip)),
+                ("fleet.round_trip", duration(fleet.round_trip)),
             ]);
         }
         entries.extend(self.state.as_ref().map(|dir| ("state.dir", quoted(&dir.display()))));
@@ -184,17 +186,17 @@
             ("limits.second_copies", limits.second_copies.to_string()),
             ("limits.cancelling", limits.cancelling.to_string()),
             ("limits.retry_after", limits.retry_after.to_string()),
-            ("limits.max_retry_after", time(limits.max_retry_after)),
-            ("limits.connect_timeout", time(limits.connect_timeout)),
-            ("limits.idle_close", time(limits.idle_close)),
+            ("limits.max_retry_after", duration(limits.max_retry_after)),
+            ("limits.connect_timeout", duration(limits.connect_timeout)),
+            ("limits.idle_close", duration(limits.idle_close)),
             ("limits.over_share_worth", self.settings.over_share_worth.to_string()),
-            ("rules.ask_within", time(rules.ask_within)),
+            ("rules.ask_within", duration(rules.ask_within)),
             ("rules.cold_share", rules.cold_share.to_string()),
-            ("rules.warm_within", time(rules.warm_within)),
-            ("rules.drain_grace", time(rules.drain_grace)),
+            ("rules.warm_within", duration(rules.warm_within)),
+            ("rules.drain_grace", duration(rules.drain_grace)),
             ("rules.fall_multiple", rules.fall_multiple.to_string()),
-            ("rules.fall_after", time(rules.fall_after)),
-            ("rules.answer_grace", time(rules.answer_grace)),
+            ("rules.fall_after", duration(rules.fall_after)),
+            ("rules.answer_grace", duration(rules.answer_grace)),
         ]);
         let mut entries: Vec<_> = entries.into_iter().map(|(key, value)| (key.to_owned(), value)).collect();
         for (i, (class, named)) in self.settings.classes.iter().zip(&self.names.classes).enumerate() {
@@ -213,10 +215,10 @@
                     Group::Cell => "cell",
                 };
                 add("group", quoted(&group));
-                add("window", time(window));
+                add("window", duration(window));
             }
-            add("wanted", time(class.objective));
-            add("deadline", time(class.deadline));
+            add("wanted", duration(class.objective));
+            add("deadline", duration(class.deadline));
             add("worth", class.worth.to_string());
             add("late_value", class.late_value.to_string());
         }
@@ -229,10 +231,10 @@
         entries
     }
 
-    /// Where a key's value comes from, by key: a file and line, a variable, or `default`. `file` and `vars` are
-    /// those that it was read from.
+    /// The origin of each key's value: a file and line, an environment variable, or `default`. `file` and `vars`
+    /// must be those that the configuration was read from.
     pub fn origins(&self, file: &Path, vars: &Vars) -> BTreeMap<String, String> {
-        match (&self.origins, settled(file)) {
+        match (&self.origins, read_consistent(file)) {
             (Some(origins), _) => origins.clone(),
             (None, Ok(text)) => router::origins(&file.display().to_string(), &text, vars, &self.entries()),
             (None, Err(_)) => BTreeMap::new(),
@@ -240,7 +242,7 @@
     }
 }
 
-/// A key whose value differs between two configurations; none where it is absent.
+/// A key whose value differs between two configurations; a value is `None` where the key is absent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     /// The key.
@@ -251,46 +253,50 @@
     pub after: Option<String>,
 }
 
-/// What differs between the entries of two configurations. The seed is new at each start, and counts for nothing.
+/// Compares the entries of two configurations. The seed is ignored, since it is new at each start.
 pub fn differences(before: &[(String, String)], after: &[(String, String)]) -> Vec<Difference> {
-    let (held, read): (BTreeMap<_, _>, BTreeMap<_, _>) =
+    let (before, after): (BTreeMap<_, _>, BTreeMap<_, _>) =
         (before.iter().cloned().collect(), after.iter().cloned().collect());
-    let keys: BTreeSet<&String> = held.keys().chain(read.keys()).collect();
-    let differ = keys.into_iter().filter(|key| *key != "seed" && held.get(*key) != read.get(*key));
-    let of = |values: &BTreeMap<String, String>, key: &String| values.get(key).cloned();
-    differ
-        .map(|key| Difference { key: key.clone(), before: of(&held, key), after: of(&read, key) })
+    let keys: BTreeSet<&String> = before.keys().chain(after.keys()).collect();
+    let changed = keys.into_iter().filter(|key| *key != "seed" && before.get(*key) != after.get(*key));
+    let value_of = |values: &BTreeMap<String, String>, key: &String| values.get(key).cloned();
+    changed
+        .map(|key| Difference {
+            key: key.clone(),
+            before: value_of(&before, key),
+            after: value_of(&after, key),
+        })
         .collect()
 }
 
-/// Descriptors without which there is nothing to serve with.
-fn min_sockets(door: bool) -> usize {
-    MIN_SOCKETS + if door { ADMIN_RESERVED_SOCKETS } else { 0 }
+/// The minimum number of file descriptors, with or without the admin API.
+fn min_sockets(admin: bool) -> usize {
+    MIN_SOCKETS + if admin { ADMIN_RESERVED_SOCKETS } else { 0 }
 }
 
-/// A time as an operator writes it.
-fn time(time: Duration) -> String {
-    format!("\"{}\"", humantime::format_duration(time))
+/// Formats a duration in the notation of an operator's file.
+fn duration(duration: Duration) -> String {
+    format!("\"{}\"", humantime::format_duration(duration))
 }
 
-/// No endpoints: an operator's file lists none, discovery does.
-fn known() -> List {
+/// An operator's file lists no endpoints; they come from discovery.
+fn no_endpoints() -> List {
     List::default()
 }
 
-/// A seed from the system, new at each call.
-fn seed() -> u64 {
+/// Returns a new random seed from the system at each call.
+fn random_seed() -> u64 {
     RandomState::new().build_hasher().finish()
 }
 
-/// Reads a file whole as it stands at one time: one that is replaced or written meanwhile is read again.
-fn settled(file: &Path) -> io::Result<String> {
-    let stamp = || fs::metadata(file).map(|data| (data.ino(), data.len(), data.modified().ok()));
+/// Reads a consistent version of a file: if it is replaced or written meanwhile, it is read again.
+fn read_consistent(file: &Path) -> io::Result<String> {
+    let version = || fs::metadata(file).map(|data| (data.ino(), data.len(), data.modified().ok()));
     let mut text = String::new();
-    for _ in 0..READS {
-        let before = stamp()?;
+    for _ in 0..MAX_READS {
+        let before = version()?;
         text = fs::read_to_string(file)?;
-        if stamp()? == before {
+        if version()? == before {
             break;
         }
     }
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -3,7 +3,7 @@
 use super::fault::{ConfigError, Fault, in_order, line, near};
 use super::keys::{CLASS_KEYS, KEYS, Key, Kind, RESERVED, TABLES, TENANT_KEYS, Unsaid};
 use super::layers::{UNSAID, convert, convert_table, merge, origin};
-use super::{Config, Log, Named, Names, Vars, known, seed};
+use super::{Config, Log, Named, Names, Vars, no_endpoints, random_seed};
 use crate::api::{Class, Discovery, Group, Limits, Rules, Semantics, Settings, Tenant, ZoneId};
 use crate::fleet::host::Config as Fleet;
 use config::{Value, ValueKind};
@@ -468,10 +468,10 @@
         listen: listen.ok_or("listen.clients is missing")?,
         control: once.address("listen.operators"),
         discovery: discovery.ok_or("discovery.address is missing")?,
-        seed: if let Some(Typed::Hex(seed)) = once.typed("seed") { *seed } else { seed() },
+        seed: if let Some(Typed::Hex(seed)) = once.typed("seed") { *seed } else { random_seed() },
         sockets: once.whole("process.sockets") as usize,
         memory_mb: once.whole("process.memory_mib") as usize,
-        known: known(),
+        known: no_endpoints(),
         list_faults: Vec::new(),
         settings,
         names: Names {
