--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -3,7 +3,7 @@
 use super::fault::{ConfigError, Fault, in_order, line, near};
 use super::keys::{CLASS_KEYS, KEYS, Key, Kind, RESERVED, TABLES, TENANT_KEYS, Unsaid};
 use super::layers::{UNSAID, convert, convert_table, merge, origin};
-use super::{Config, Log, Named, Names, Vars, known, seed};
+use super::{Config, Log, Named, Names, Vars, no_endpoints, random_seed};
 use crate::api::{Class, Discovery, Group, Limits, Rules, Semantics, Settings, Tenant, ZoneId};
 use crate::fleet::host::Config as Fleet;
 use config::{Value, ValueKind};
@@ -311,7 +311,7 @@
         fault(once, "", "place.tier", format!("{tier} is none of {tiers}"), "count from 0");
     }
     in_fleet(once, &mut fault);
-    let least = super::least_sockets(once.0.contains_key("listen.operators"));
+    let least = super::min_sockets(once.0.contains_key("listen.operators"));
     if once.whole("process.sockets") < least as u64 {
         let problem = format!("{} are too few to serve with", once.whole("process.sockets"));
         fault(once, "", "process.sockets", problem, &format!("at least {least} are needed"));
@@ -468,11 +468,11 @@
         listen: listen.ok_or("listen.clients is missing")?,
         control: once.address("listen.operators"),
         discovery: discovery.ok_or("discovery.address is missing")?,
-        seed: if let Some(Typed::Hex(seed)) = once.typed("seed") { *seed } else { seed() },
+        seed: if let Some(Typed::Hex(seed)) = once.typed("seed") { *seed } else { random_seed() },
         sockets: once.whole("process.sockets") as usize,
         memory_mb: once.whole("process.memory_mib") as usize,
-        known: known(),
-        unread: Vec::new(),
+        known: no_endpoints(),
+        list_faults: Vec::new(),
         settings,
         names: Names {
             classes: named(classes),
