--- a/src/config/list.rs
+++ b/src/config/list.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 /// No list, and nothing that may yet become one, is longer than this many bytes.
-pub const LIST_MOST: usize = 4 << 20;
+pub const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// A list as discovery words it.
 #[derive(Debug, Default, Deserialize)]
@@ -67,8 +67,8 @@
     /// It can't become a list any more.
     #[error("the watch brought what is no list: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// It has not become a list within [`LIST_MOST`].
-    #[error("the watch brought a list of over {LIST_MOST} bytes")]
+    /// It has not become a list within [`MAX_LIST_BYTES`].
+    #[error("the watch brought a list of over {MAX_LIST_BYTES} bytes")]
     TooLong,
 }
 
@@ -95,7 +95,7 @@
             lists.push(serde_json::from_slice(&self.text[read..end])?);
             (read, self.vain) = (end, 0);
         }
-        if !self.is_amid() {
+        if !self.is_incomplete() {
             read = self.text.len(); // blank
         }
         self.text.drain(..read);
@@ -110,11 +110,11 @@
                 return Err(e.into());
             }
         }
-        if size > LIST_MOST { Err(ListFault::TooLong) } else { Ok(lists) }
+        if size > MAX_LIST_BYTES { Err(ListFault::TooLong) } else { Ok(lists) }
     }
 
     /// A list has begun and not ended.
-    pub fn is_amid(&self) -> bool {
+    pub fn is_incomplete(&self) -> bool {
         self.scan.depth > 0
     }
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -10,7 +10,7 @@
 mod router;
 
 pub use fault::{ConfigError, Fault};
-pub use list::{LIST_MOST, List, ListFault, ListReader, State, Target};
+pub use list::{List, ListFault, ListReader, MAX_LIST_BYTES, State, Target};
 
 use crate::api::{Discovery, Group, Semantics, Settings};
 use crate::fleet::host::Config as Fleet;
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -5,7 +5,7 @@
 use super::discovery_call::{ANSWER_TIMEOUT, FetchError, WatchEnd, call};
 use super::discovery_health::DiscoveryHealth;
 use super::list_translator::{ListTranslator, ListUpdate};
-use gullpulley::config::{LIST_MOST, List, ListReader, Names};
+use gullpulley::config::{List, ListReader, MAX_LIST_BYTES, Names};
 use gullpulley::{
     Discovery as Mode, DiscoveryFailure, DiscoverySchedule, EndpointId, LISTING_DELAY, Membership, Settings,
 };
@@ -296,7 +296,7 @@
                 self.apply(list, newer || !self.move_unconfirmed.get());
             }
             let now = Instant::now();
-            if lists.is_amid() {
+            if lists.is_incomplete() {
                 // Empty lines after an incomplete list must not keep alive a watch that delivers nothing
                 // more, and waiting for the end of a list delays the changes behind it.
                 if !chunk.trim_ascii().is_empty() {
@@ -354,7 +354,8 @@
 
     async fn fetch(&self) -> Result<List, FetchError> {
         let (response, _connection) = call(self.address.get(), "/api/targets", &self.health).await?;
-        let body = timeout(ANSWER_TIMEOUT, Limited::new(response.into_body(), LIST_MOST).collect()).await;
+        let body =
+            timeout(ANSWER_TIMEOUT, Limited::new(response.into_body(), MAX_LIST_BYTES).collect()).await;
         let body = body.map_err(|_| FetchError::TimedOut)?.map_err(FetchError::Body)?;
         Ok(serde_json::from_slice(&body.to_bytes())?)
     }
--- a/tests/lists.rs
+++ b/tests/lists.rs
@@ -1,6 +1,6 @@
 //! Lists that come one behind the other: read however they are laid out and cut.
 
-use gullpulley::config::{LIST_MOST, List, ListFault, ListReader};
+use gullpulley::config::{List, ListFault, ListReader, MAX_LIST_BYTES};
 use proptest::prelude::*;
 use serde_json::{Value, json};
 use std::time::Instant;
@@ -37,7 +37,7 @@
         let told: Vec<_> = read.iter().map(|list: &List| (list.rev as usize, list.targets.len())).collect();
         let meant: Vec<_> = lists.iter().enumerate().map(|(rev, list)| (rev, list.0)).collect();
         prop_assert_eq!(told, meant);
-        prop_assert!(!reader.is_amid());
+        prop_assert!(!reader.is_incomplete());
     }
 
     #[test]
@@ -93,6 +93,6 @@
     let fault = reader.take(format!("\n{}\n", list(10, 0)).as_bytes());
     assert!(matches!(fault, Err(ListFault::Malformed(_))), "{fault:?}");
     let mut reader = ListReader::default();
-    assert!(reader.take(half.as_bytes()).unwrap().is_empty() && reader.is_amid());
-    assert!(matches!(reader.take(&vec![b' '; LIST_MOST]), Err(ListFault::TooLong)));
+    assert!(reader.take(half.as_bytes()).unwrap().is_empty() && reader.is_incomplete());
+    assert!(matches!(reader.take(&vec![b' '; MAX_LIST_BYTES]), Err(ListFault::TooLong)));
 }
