--- a/src/fleet/host/log.rs
+++ b/src/fleet/host/log.rs
@@ -1,8 +1,8 @@
-//! The thread that runs the log's core: frames, what the disk says, who is where, and the time in; frames, batches for the
-//! disk, the log's lines and the view out.
+//! The thread that runs the log: its input is frames, events of the disk thread, addresses of members and
+//! the time, its output frames, batches for the disk, log lines and the status.
 //!
-//! It is a thread of its own beside the one of membership: a snapshot that is written or read must not make timers late by
-//! which others are taken for lost.
+//! It is separate from the membership thread: writing or reading a snapshot must not delay the timers by
+//! which members are declared down.
 
 use super::{DiskEvent, Stats};
 use crate::fleet::log::{Log, Output, Role, Settings, Status};
@@ -19,90 +19,91 @@
 use tokio::sync::{mpsc, watch};
 use tracing::{error, info, warn};
 
-/// So long more than half of the voters have been here before one that remembers a log has its part in it: by then they
-/// have told whether its folder is older than what they remember.
-const ASKED: Duration = Duration::from_secs(1);
-/// What the disk did not take is tried again after this.
-const AGAIN: Duration = Duration::from_millis(20);
+/// A process with a persisted log takes part once more than half of the voters have been up for this long:
+/// by then they have reported whether its folder is older than what they remember.
+const FOLDER_CHECK_TIME: Duration = Duration::from_secs(1);
+/// Delay before batches that the disk thread refused are submitted again, and between checks of the voters
+/// that are up.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What a process brings to the log as it joins.
+/// The state with which a process joins the log.
 #[derive(Debug)]
 pub struct LogJoin {
-    /// Its number: of its state folder, or drawn where it keeps nothing.
+    /// Id of the process: derived from its state folder, or random if it persists nothing.
     pub id: u64,
-    /// What it remembers.
-    pub memory: PersistedState,
-    /// Where it is kept; none where nothing is.
+    /// Its persisted state.
+    pub state: PersistedState,
+    /// The writer that persists it; `None` if nothing is persisted.
     pub writer: Option<Arc<Mutex<Writer>>>,
 }
 
 impl LogJoin {
-    /// One that keeps nothing follows under a number of its own.
+    /// Joins as a follower under a random id, without persisted state.
     pub fn without_state() -> Self {
         let id = RandomState::new().build_hasher().finish().max(1);
-        LogJoin { id, memory: PersistedState::default(), writer: None }
+        LogJoin { id, state: PersistedState::default(), writer: None }
     }
 }
 
-/// Where processes are, by name.
+/// Addresses of members, by name.
 pub(super) type Addresses = Arc<BTreeMap<String, SocketAddr>>;
 
-/// What the thread works with.
+/// Inputs and outputs of the thread.
 pub(super) struct LogThread {
-    pub(super) joining: Receiver<LogJoin>,
-    /// Where others are: the newest word of membership.
+    pub(super) join_receiver: Receiver<LogJoin>,
+    /// The latest addresses of members.
     pub(super) peers: watch::Receiver<Addresses>,
     pub(super) frames: Receiver<Vec<u8>>,
     pub(super) disk: Receiver<DiskEvent>,
-    pub(super) posts: mpsc::Sender<(SocketAddr, Vec<u8>)>,
+    pub(super) outgoing: mpsc::Sender<(SocketAddr, Vec<u8>)>,
     pub(super) stats: Arc<Stats>,
-    pub(super) says: watch::Sender<Option<Status>>,
+    pub(super) status: watch::Sender<Option<Status>>,
 }
 
-/// What the core wants written, and what the disk has taken of it.
-struct Desk {
+/// Batches of the log on their way to the disk.
+struct BatchQueue {
     writer: Option<Arc<Mutex<Writer>>>,
-    /// Not taken yet, in order.
+    /// Not yet submitted, in order.
     waiting: VecDeque<(u64, Vec<Change>)>,
-    /// Taken: the disk's number and the core's.
-    taken: VecDeque<(u64, u64)>,
+    /// Submitted: the writer's batch number and the log's.
+    submitted: VecDeque<(u64, u64)>,
 }
 
 impl LogThread {
-    /// Works until the process ends, from when it joins.
-    pub(super) fn work(self, settings: impl FnOnce(u64) -> Settings) {
-        let Ok(LogJoin { id, memory, writer }) = self.joining.recv() else { return };
+    /// Runs until the process ends, once it joins.
+    pub(super) fn run(self, settings: impl FnOnce(u64) -> Settings) {
+        let Ok(LogJoin { id, state, writer }) = self.join_receiver.recv() else { return };
         let settings = settings(id);
-        if memory.last() > 0 && !self.is_trusted(&settings) {
+        if state.last() > 0 && !self.is_trusted(&settings) {
             error!(
-                "fleet: this process has no part in the log, as its state.dir is older than others remember"
+                "fleet: this process takes no part in the log, as its state.dir is older than other members remember"
             );
             return;
         }
-        let mut log = match Log::new(settings, &memory, self.stats.elapsed()) {
+        let mut log = match Log::new(settings, &state, self.stats.elapsed()) {
             Ok(log) => log,
             Err(problem) => {
                 return error!(
-                    "fleet: {problem}; this process has no part in the log: begin on a new state.dir"
+                    "fleet: {problem}; this process takes no part in the log: start it with a new state.dir"
                 );
             }
         };
-        drop(memory);
-        let mut desk = Desk { writer, waiting: VecDeque::new(), taken: VecDeque::new() };
+        drop(state);
+        let mut batches = BatchQueue { writer, waiting: VecDeque::new(), submitted: VecDeque::new() };
         let (mut out, mut disk) = (Vec::new(), self.disk.clone());
         loop {
             let now = || self.stats.elapsed();
             let due = log.due().saturating_sub(now());
-            let wait = if desk.waiting.is_empty() { due } else { due.min(AGAIN) };
+            let wait = if batches.waiting.is_empty() { due } else { due.min(RETRY_DELAY) };
             select_biased! {
-                recv(disk) -> says => match says {
+                recv(disk) -> event => match event {
                     Ok(DiskEvent::Durable(number)) => {
-                        if let Some(batch) = desk.durable(number) {
+                        if let Some(batch) = batches.durable(number) {
                             log.durable(now(), batch, &mut out);
                         }
                     }
                     Ok(DiskEvent::Stopped) => log.stop(),
-                    Err(_) => disk = never(), // nothing is kept here
+                    Err(_) => disk = never(), // nothing is persisted
                 },
                 recv(self.frames) -> frame => match frame {
                     Ok(frame) => log.receive(now(), &frame, &mut out),
@@ -115,24 +116,26 @@
             }
             for output in out.drain(..) {
                 match output {
-                    Output::Send(to, frame) => self.post(&to, frame),
-                    Output::Write(batch, changes) => desk.waiting.push_back((batch, changes)),
+                    Output::Send(to, frame) => self.send(&to, frame),
+                    Output::Write(batch, changes) => batches.waiting.push_back((batch, changes)),
                     Output::Completed(..) => {} // no orders are submitted yet
                 }
             }
-            if let Some(batch) = desk.submit() {
+            if let Some(batch) = batches.submit() {
                 log.durable(now(), batch, &mut out);
             }
-            self.show(log.status());
+            self.publish(log.status());
         }
     }
 
-    /// Another remembers a later start on this process's folder: what it promised since is forgotten.
+    /// Whether another member remembers a later start on this process's folder, whose votes and entries
+    /// since are lost.
     fn is_older(&self) -> bool {
         self.stats.newer_start.load(Relaxed) > 0
     }
 
-    /// Waits until those that would know have told whether this process's folder is older than what they remember.
+    /// Waits until a majority of the voters had time to report whether this process's folder is older than
+    /// they remember.
     fn is_trusted(&self, settings: &Settings) -> bool {
         let mut since = self.stats.elapsed();
         while !self.is_older() {
@@ -141,37 +144,38 @@
             let now = self.stats.elapsed();
             if (others + 1) * 2 <= settings.voters.len() {
                 since = now;
-            } else if now >= since + ASKED {
+            } else if now >= since + FOLDER_CHECK_TIME {
                 return true;
             }
-            thread::sleep(AGAIN);
+            thread::sleep(RETRY_DELAY);
         }
         false
     }
 
-    fn post(&self, to: &str, frame: Vec<u8>) {
+    fn send(&self, to: &str, frame: Vec<u8>) {
         let Some(address) = self.peers.borrow().get(to).copied() else {
             self.stats.frames_lost.fetch_add(1, Relaxed);
             return;
         };
-        if self.posts.try_send((address, frame)).is_err() {
+        if self.outgoing.try_send((address, frame)).is_err() {
             self.stats.frames_lost.fetch_add(1, Relaxed);
         }
     }
 
-    /// Says what has changed; the newest view is there for all to read.
-    fn show(&self, view: Status) {
-        let before = self.says.borrow().clone();
-        if before.as_ref() == Some(&view) {
+    /// Logs changes and publishes the latest status.
+    fn publish(&self, status: Status) {
+        let before = self.status.borrow().clone();
+        if before.as_ref() == Some(&status) {
             return;
         }
-        tell(before.as_ref(), &view);
-        self.says.send_replace(Some(view));
+        log_changes(before.as_ref(), &status);
+        self.status.send_replace(Some(status));
     }
 }
 
-impl Desk {
-    /// Hands the disk what waits; the last batch that is as good as durable at once, where nothing is kept.
+impl BatchQueue {
+    /// Submits the waiting batches. If nothing is persisted, returns the last of them, which then counts as
+    /// durable at once.
     fn submit(&mut self) -> Option<u64> {
         let Some(writer) = &self.writer else {
             return self.waiting.drain(..).next_back().map(|(batch, _)| batch);
@@ -179,65 +183,72 @@
         let mut writer = writer.lock().unwrap_or_else(PoisonError::into_inner);
         while let Some((batch, changes)) = self.waiting.pop_front() {
             match writer.submit(changes.clone()) {
-                Ok(number) => self.taken.push_back((number, batch)),
+                Ok(number) => self.submitted.push_back((number, batch)),
                 Err(SubmitError::Full) => {
                     self.waiting.push_front((batch, changes));
                     break;
                 }
-                Err(SubmitError::Stopped) => break, // it is told apart
+                Err(SubmitError::Stopped) => break, // reported by `DiskEvent::Stopped`
             }
         }
         None
     }
 
-    /// The core's last batch up to this number of the disk's.
+    /// The last batch of the log that is durable, given the number of the writer's last durable batch.
     fn durable(&mut self, number: u64) -> Option<u64> {
         let mut last = None;
-        while self.taken.front().is_some_and(|(taken, _)| *taken <= number) {
-            last = self.taken.pop_front().map(|(_, batch)| batch);
+        while self.submitted.front().is_some_and(|(submitted, _)| *submitted <= number) {
+            last = self.submitted.pop_front().map(|(_, batch)| batch);
         }
         last
     }
 }
 
-/// What of a view is worth a line.
-fn tell(before: Option<&Status>, view: &Status) {
-    let same = |part: fn(&Status) -> String| before.map(part) == Some(part(view));
-    if !same(|view| format!("{:?} {:?}", view.role, view.leader)) {
-        let leader = view.leader.as_deref().unwrap_or("nobody");
-        let voters = view.voters.join(" ");
-        match view.role {
+/// Logs the changes in the status.
+fn log_changes(before: Option<&Status>, status: &Status) {
+    let unchanged = |field: fn(&Status) -> String| before.map(field) == Some(field(status));
+    if !unchanged(|status| format!("{:?} {:?}", status.role, status.leader)) {
+        let leader = status.leader.as_deref().unwrap_or("nobody");
+        let voters = status.voters.join(" ");
+        match status.role {
             Role::Founding => {
-                info!(voters, "fleet log: none yet: it begins when all voters are here: {voters}")
+                info!(voters, "fleet log: not founded yet: it starts when all voters are up: {voters}")
+            }
+            Role::Leader => {
+                info!(term = status.term, "fleet log: this process leads in term {}", status.term)
+            }
+            Role::Voter => {
+                info!(leader, term = status.term, "fleet log: this process votes; {leader} leads")
             }
-            Role::Leader => info!(term = view.term, "fleet log: this process leads in term {}", view.term),
-            Role::Voter => info!(leader, term = view.term, "fleet log: votes; {leader} leads"),
             Role::Learner => {
-                info!(leader, "fleet log: learns, to vote in the place of one that lost its memory")
+                info!(
+                    leader,
+                    "fleet log: this process is a learner, to replace a voter that lost its state"
+                )
             }
-            Role::Follower => info!(voters, "fleet log: follows what these agree on: {voters}"),
+            Role::Follower => info!(voters, "fleet log: this process follows the voters {voters}"),
         }
     }
-    if !same(|view| format!("{:?}", view.voters)) && before.is_some() {
-        info!("fleet log: voters are now {}", view.voters.join(" "));
+    if !unchanged(|status| format!("{:?}", status.voters)) && before.is_some() {
+        info!("fleet log: voters are now {}", status.voters.join(" "));
     }
-    if !same(|view| view.lost_state.join(" ")) && !view.lost_state.is_empty() {
-        let lost = view.lost_state.join(" ");
-        if view.lost_state.len() * 2 > view.voters.len() {
+    if !unchanged(|status| status.lost_state.join(" ")) && !status.lost_state.is_empty() {
+        let lost = status.lost_state.join(" ");
+        if status.lost_state.len() * 2 > status.voters.len() {
             error!(
                 lost,
-                "fleet log: more than half of the voters have lost their memory: nothing is agreed any more"
+                "fleet log: more than half of the voters have lost their state: nothing can be committed any more"
             );
         } else {
-            warn!(lost, "fleet log: these have lost their memory, and are let in again: {lost}");
+            warn!(lost, "fleet log: voters that lost their state are being added again: {lost}");
         }
     }
-    if !same(|view| format!("{:?}", view.founding_conflict))
-        && let Some(disturbed) = &view.founding_conflict
+    if !unchanged(|status| format!("{:?}", status.founding_conflict))
+        && let Some(conflict) = &status.founding_conflict
     {
-        error!("fleet log: {disturbed}");
+        error!("fleet log: {conflict}");
     }
-    if view.stopped && before.is_some_and(|before| !before.stopped) {
-        error!("fleet log: nothing is kept any more, so this process votes no longer");
+    if status.stopped && before.is_some_and(|before| !before.stopped) {
+        error!("fleet log: nothing is persisted any more, so this process no longer votes");
     }
 }
--- a/src/fleet/host/members.rs
+++ b/src/fleet/host/members.rs
@@ -1,4 +1,5 @@
-//! The thread that runs the core: datagrams, commands and the time in; datagrams, the log's lines and the view out.
+//! The thread that runs membership: its input is datagrams, commands and the time, its output datagrams,
+//! log lines and the view.
 
 use super::log::Addresses;
 use super::{Command, Stats, publish};
@@ -11,32 +12,34 @@
 use tokio::sync::watch;
 use tracing::{error, info, warn};
 
-/// A datagram that the system does not take within this is lost, as any may be.
-const SEND_MOST: Duration = Duration::from_millis(20);
+/// A datagram that the socket does not accept within this time is dropped, as any may be lost in transit.
+const SEND_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// What the thread works with.
+/// Inputs and outputs of the thread.
 pub(super) struct MembersThread {
     pub(super) datagrams: Receiver<Vec<u8>>,
     pub(super) command_receiver: Receiver<Command>,
     pub(super) stats: Arc<Stats>,
-    pub(super) says: watch::Sender<Option<View>>,
-    /// Where others are, for the log's thread.
+    pub(super) view: watch::Sender<Option<View>>,
+    /// Addresses of the members, for the log thread.
     pub(super) peers: watch::Sender<Addresses>,
 }
 
 impl MembersThread {
-    /// Works until the process ends, from when the socket is there and the process is to join.
-    pub(super) fn work(self, mut settings: Settings, bound: &Receiver<UdpSocket>) {
+    /// Runs until the process ends, once the socket is bound and the process is to join.
+    pub(super) fn run(self, mut settings: Settings, bound: &Receiver<UdpSocket>) {
         let Ok(socket) = bound.recv() else { return };
         match self.command_receiver.recv() {
             Ok(Command::Join(start)) => {
                 let at = settings.me.generation;
                 settings.me.start = start.map(|(folder, number)| Start { folder, number, at });
             }
-            Ok(Command::Leave) | Err(_) => return, // it ends before it was there
+            Ok(Command::Leave) | Err(_) => return, // the process ends before it joined
         }
-        if let Err(e) = socket.set_write_timeout(Some(SEND_MOST)) {
-            warn!("fleet: a slow socket may hold up the fleet's thread: {e}");
+        if let Err(e) = socket.set_write_timeout(Some(SEND_TIMEOUT)) {
+            warn!(
+                "fleet: could not set the send timeout, so a slow socket may block the membership thread: {e}"
+            );
         }
         let me = settings.me.clone();
         info!(cluster = settings.cluster, address = %me.address, "fleet: {} joins {}", me.name, settings.cluster);
@@ -46,7 +49,7 @@
         loop {
             let wait = members.due().saturating_sub(clock.elapsed());
             let command_receiver = if leaving { never() } else { self.command_receiver.clone() };
-            // What came is heard before a timer that is due may say that it never did.
+            // Received datagrams are handled before due timers, which could otherwise report them missing.
             select_biased! {
                 recv(command_receiver) -> command => match command {
                     Ok(Command::Leave) => {
@@ -54,7 +57,7 @@
                         members.leave(clock.elapsed(), &mut out);
                         leaving = true;
                     }
-                    Ok(Command::Join(_)) => {} // it has joined
+                    Ok(Command::Join(_)) => {} // it has joined already
                     Err(_) => return, // the process ends
                 },
                 recv(self.datagrams) -> datagram => {
@@ -66,11 +69,11 @@
             for output in out.drain(..) {
                 match output {
                     Output::Send(to, datagram) => self.send(&socket, to, &datagram),
-                    Output::Event(statement) => self.say(statement),
+                    Output::Event(event) => self.report(event),
                 }
             }
             publish(&self.stats, &members.counts());
-            self.stats.turn();
+            self.stats.record_iteration();
         }
     }
 
@@ -84,14 +87,14 @@
         }
     }
 
-    fn say(&self, statement: Event) {
-        match statement {
+    fn report(&self, event: Event) {
+        match event {
             Event::Joined(peer) => {
                 self.peers.send_modify(|peers| {
                     Arc::make_mut(peers).insert(peer.name.clone(), peer.address);
                 });
                 let Peer { name, address, zone, .. } = &peer;
-                info!(peer = name, zone, "fleet: {name} ({address}) is here");
+                info!(peer = name, zone, "fleet: {name} ({address}) joined");
             }
             Event::Left(peer) => {
                 self.peers.send_modify(|peers| {
@@ -100,11 +103,14 @@
                 info!(peer = peer.name, "fleet: {} has left", peer.name);
             }
             Event::Lost(Peer { name, address, zone, .. }) => {
-                warn!(peer = name, zone, "fleet: {name} ({address}) is lost");
+                warn!(
+                    peer = name,
+                    zone, "fleet: {name} ({address}) does not respond and is considered down"
+                );
             }
             Event::Returned(peer) => {
                 warn!(
-                    "fleet: the others took this process for gone; it is back as generation {}",
+                    "fleet: other members had declared this process down; it rejoined as generation {}",
                     peer.generation
                 );
             }
@@ -114,21 +120,21 @@
                 let at = humantime::format_rfc3339_seconds(UNIX_EPOCH + at);
                 error!(
                     number,
-                    "fleet: state.dir is older than what others remember, or a copy: they saw start {number} on it at {at}; \
-                     what it says of before can't be trusted"
+                    "fleet: state.dir is older than other members remember, or a copy: they saw start {number} on it at {at}; \
+                     its content is not trusted"
                 );
             }
             Event::View(view) => {
-                let before = self.says.borrow().clone();
-                tell(before.as_ref(), &view);
-                self.says.send_replace(Some(view));
+                let before = self.view.borrow().clone();
+                log_changes(before.as_ref(), &view);
+                self.view.send_replace(Some(view));
             }
         }
     }
 }
 
-/// What of a view is worth a line: how it stands, and names that stand twice.
-fn tell(before: Option<&View>, view: &View) {
+/// Logs changes of the view's state, and new duplicate names.
+fn log_changes(before: Option<&View>, view: &View) {
     for name in view
         .duplicate_names
         .iter()
@@ -136,7 +142,7 @@
     {
         error!(
             name,
-            "fleet: two processes here are named {name}: both count, and both serve; name one of them anew"
+            "fleet: two members have the name {name}: both count and both serve; rename one of them"
         );
     }
     if before.is_some_and(|before| before.standing == view.standing) {
@@ -147,20 +153,26 @@
     let names = view.away.join(" ");
     match view.standing {
         Standing::Converged if away == 0 => {
-            info!(living, known, balancers, "fleet: converged: all {known} are here")
+            info!(living, known, balancers, "fleet: converged: all {known} members are up")
         }
         Standing::Converged => {
-            info!(living, known, balancers, away = names, "fleet: converged: {living} of {known} are here")
+            info!(
+                living,
+                known,
+                balancers,
+                away = names,
+                "fleet: converged: {living} of {known} members are up"
+            )
         }
         Standing::Converging => {
-            info!(living, known, balancers, "fleet: converging: {living} of {known} are here")
+            info!(living, known, balancers, "fleet: converging: {living} of {known} members are up")
         }
         Standing::Split => warn!(
             living,
             known,
             balancers,
             away = names,
-            "fleet: split: only {living} of {known} are here; each goes on with its part as if all were"
+            "fleet: split: only {living} of {known} members are up; each keeps its share as if all were"
         ),
     }
 }
--- a/src/fleet/host/mod.rs
+++ b/src/fleet/host/mod.rs
@@ -1,7 +1,8 @@
-//! The threads around the cores, and what the serving thread may read of them. Nobody waits for either thread.
+//! The threads that run membership and the log, and the status that the serving thread reads. No other
+//! thread blocks on them.
 //!
-//! `datagrams` takes them off the socket; `members` runs the core of membership, sends, and says what has become known.
-//! `log` runs the core of the log, where there are voters, and `streams` carries its frames.
+//! `datagrams` receives datagrams from the socket; `members` runs membership, sends datagrams and reports
+//! events. `log` runs the log, if voters are configured, and `streams` carries its frames.
 
 mod datagrams;
 mod log;
@@ -11,7 +12,7 @@
 pub use log::LogJoin;
 pub use streams::PEER_FRAME_CAPACITY;
 
-use crate::fleet::log as core;
+use crate::fleet::log as fleet_log;
 use crate::fleet::members::{Counts, MAX_NAME_BYTES, Peer, Settings, View};
 use crossbeam_channel::{Receiver, Sender, bounded};
 use std::collections::hash_map::RandomState;
@@ -24,58 +25,60 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, watch};
 
-/// Datagrams that may wait for the core.
+/// Datagrams that may be queued for the membership thread.
 pub const DATAGRAM_CAPACITY: usize = 1024;
-/// Orders that may.
+/// Commands that may be queued for the membership thread.
 pub const COMMAND_CAPACITY: usize = 4;
-/// Frames that may wait for the log's core, and frames of its that may wait to be carried.
+/// Frames that may be queued for the log thread, and outgoing frames that may be queued for the streams
+/// thread.
 pub const FRAME_CAPACITY: usize = 256;
-/// Statements of the disk that may wait for the log's core.
+/// Events of the disk thread that may be queued for the log thread.
 pub const DISK_EVENT_CAPACITY: usize = 64;
 
-/// A process's place in its fleet, as its configuration says it.
+/// The fleet settings of a process, from its configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// The fleet's name: datagrams of others are not heard.
+    /// The fleet's name; datagrams of other fleets are dropped.
     pub cluster: String,
-    /// Where its datagrams arrive.
+    /// The address that it listens on.
     pub listen: SocketAddr,
-    /// By which address others reach it.
+    /// The address at which other members reach it.
     pub address: SocketAddr,
-    /// Where some others may be found.
+    /// Addresses of some other members.
     pub seeds: Vec<SocketAddr>,
-    /// The longest that a datagram and its answer take on a good day.
+    /// The longest round trip of a datagram and its answer in normal operation.
     pub round_trip: Duration,
-    /// The names of the voters: 3, 5 or 7, or none where nothing is to be agreed.
+    /// The names of the voters: 3, 5 or 7, or none if there is no log.
     pub voters: Vec<String>,
 }
 
-/// What the disk says to the log's core.
+/// An event of the disk thread for the log thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskEvent {
-    /// All batches up to this number of the writer's are durable.
+    /// All batches up to this number of the writer are durable.
     Durable(u64),
-    /// Nothing is kept any more.
+    /// Nothing is persisted any more.
     Stopped,
 }
 
 impl Config {
-    /// What is wrong with a name that others would have to carry; none where nothing is.
+    /// Why a name can't be used in a fleet; `None` if it can.
     pub fn name_error(name: &str) -> Option<String> {
-        let long = name.len() > MAX_NAME_BYTES;
-        long.then(|| format!("{} bytes are too many for a fleet; it takes {MAX_NAME_BYTES}", name.len()))
+        let too_long = name.len() > MAX_NAME_BYTES;
+        too_long
+            .then(|| format!("{} bytes are too many for a fleet; it takes {MAX_NAME_BYTES}", name.len()))
     }
 
-    /// The log's settings for the process that turns out to have this number.
-    fn log_settings(&self, name: &str) -> impl FnOnce(u64) -> core::Settings + Send + 'static {
+    /// The log's settings, as a function of the id of this process, which is known later.
+    fn log_settings(&self, name: &str) -> impl FnOnce(u64) -> fleet_log::Settings + Send + 'static {
         let (cluster, voters) = (self.cluster.clone(), self.voters.iter().cloned().collect());
         let (name, round_trip) = (name.to_owned(), self.round_trip);
         let half = || u128::from(RandomState::new().build_hasher().finish());
         let client = half() << 64 | half();
-        move |id| core::Settings { cluster, name, id, client, voters, round_trip, seed: client as u64 }
+        move |id| fleet_log::Settings { cluster, name, id, client, voters, round_trip, seed: client as u64 }
     }
 
-    /// The core's settings for a process that starts now.
+    /// The membership settings for a process that starts now.
     fn settings(&self, name: &str, zone: &str, balancers: u32) -> Settings {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let me = Peer {
@@ -98,30 +101,31 @@
     }
 }
 
-/// What the threads count; all of it may be read at any time.
+/// Statistics of the threads, which any thread may read at any time.
 #[derive(Debug)]
 pub struct Stats {
     began: Instant,
-    /// Datagrams that came, and their bytes.
+    /// Datagrams received, and their bytes.
     pub received: [AtomicU64; 2],
-    /// Datagrams that went, and their bytes.
+    /// Datagrams sent, and their bytes.
     pub sent: [AtomicU64; 2],
-    /// Datagrams that the system did not take.
+    /// Datagrams that could not be sent.
     pub send_errors: AtomicU64,
     /// Datagrams dropped, by [`Stats::REASONS`].
     pub dropped: [AtomicU64; 6],
-    /// Times that the process had stood still.
+    /// Times that the process had been stalled.
     pub stalls: AtomicU64,
-    /// Orders not taken.
+    /// Commands refused because the queue was full.
     pub commands_refused: AtomicU64,
-    /// Frames of the log that came, and that went.
+    /// Frames of the log received, and sent.
     pub frames: [AtomicU64; 2],
-    /// Frames that were not delivered, or not heard as too many waited.
+    /// Frames that were not delivered, or dropped on receipt because the queue was full.
     pub frames_lost: AtomicU64,
-    /// The number of the later start that another remembers of this process's state folder; 0 where none does.
+    /// The number of the later start on this process's state folder that another member remembers; 0 if
+    /// none does.
     pub newer_start: AtomicU64,
-    /// Microseconds after the start at which the core last had a turn.
-    turn_us: AtomicU64,
+    /// Time of the last iteration of the membership thread, in microseconds since the start.
+    last_iteration_us: AtomicU64,
 }
 
 impl Stats {
@@ -131,7 +135,7 @@
 
     fn new() -> Self {
         let (received, sent, send_errors, dropped, stalls, commands_refused) = Default::default();
-        let (frames, frames_lost, newer_start, turn_us) = Default::default();
+        let (frames, frames_lost, newer_start, last_iteration_us) = Default::default();
         let began = Instant::now();
         Stats {
             began,
@@ -144,12 +148,12 @@
             frames,
             frames_lost,
             newer_start,
-            turn_us,
+            last_iteration_us,
         }
     }
 
-    fn turn(&self) {
-        self.turn_us.store(self.began.elapsed().as_micros() as u64, Relaxed);
+    fn record_iteration(&self) {
+        self.last_iteration_us.store(self.began.elapsed().as_micros() as u64, Relaxed);
     }
 
     /// Time since the start: the clock of [`View::since`].
@@ -157,35 +161,35 @@
         self.began.elapsed()
     }
 
-    /// Since when the core has had no turn; below half a second where all is well.
+    /// Time since the last iteration of the membership thread; below half a second in normal operation.
     pub fn stuck_for(&self) -> Duration {
-        let turn = Duration::from_micros(self.turn_us.load(Relaxed));
-        self.began.elapsed().saturating_sub(turn)
+        let last_iteration = Duration::from_micros(self.last_iteration_us.load(Relaxed));
+        self.began.elapsed().saturating_sub(last_iteration)
     }
 }
 
-/// A command for the core.
+/// A command for the membership thread.
 enum Command {
-    /// To join, with its state folder and the number of its start there, where it keeps a state.
+    /// Join, with the id of the state folder and the number of the start on it, if state is persisted.
     Join(Option<(u128, u64)>),
     Leave,
 }
 
-/// The threads of a process in a fleet. They end with the process.
+/// Handle of the fleet threads of a process. The threads end with the process.
 #[derive(Debug)]
 pub struct Fleet {
     commands: Sender<Command>,
     datagrams: Receiver<Vec<u8>>,
     stats: Arc<Stats>,
     view: watch::Receiver<Option<View>>,
-    /// What the process brings to the log, where there is one.
-    joining: Option<Sender<LogJoin>>,
-    log: watch::Receiver<Option<core::Status>>,
+    /// Passes the persisted state to the log thread, if there is one.
+    log_join: Option<Sender<LogJoin>>,
+    log: watch::Receiver<Option<fleet_log::Status>>,
 }
 
 impl Fleet {
-    /// Starts the threads; the socket is bound on its own thread, as an older process of this sidecar may still have it.
-    /// What the disk says comes through `disk`, where the process keeps a state.
+    /// Starts the threads. The socket is bound on a thread of its own, as the predecessor process of a hot
+    /// restart may still hold it. `disk` delivers the events of the disk thread, if state is persisted.
     pub fn start(
         config: Config,
         name: &str,
@@ -194,105 +198,106 @@
         disk: Receiver<DiskEvent>,
     ) -> io::Result<Self> {
         let (commands, command_receiver) = bounded(COMMAND_CAPACITY);
-        let (came, datagrams) = bounded(DATAGRAM_CAPACITY);
+        let (received, datagrams) = bounded(DATAGRAM_CAPACITY);
         let stats = Arc::new(Stats::new());
-        let (says, view) = watch::channel(None);
+        let (view_sender, view) = watch::channel(None);
         let settings = config.settings(name, zone, balancers);
-        let (bound, taken) = bounded(1);
-        let (says_log, log) = watch::channel(None);
+        let (bound, socket) = bounded(1);
+        let (status_sender, log) = watch::channel(None);
         let (addresses, peers) = watch::channel(Arc::default());
-        let joining = match config.voters.is_empty() {
+        let log_join = match config.voters.is_empty() {
             true => None,
             false => {
-                let (joining, joined) = bounded(1);
-                let (frames, posts) = carry(config.listen, &stats)?;
+                let (log_join, join_receiver) = bounded(1);
+                let (frames, outgoing) = start_streams(config.listen, &stats)?;
                 let thread = log::LogThread {
-                    joining: joined,
+                    join_receiver,
                     peers,
                     frames,
                     disk,
-                    posts,
+                    outgoing,
                     stats: stats.clone(),
-                    says: says_log,
+                    status: status_sender,
                 };
                 let settings = config.log_settings(name);
-                thread::Builder::new().name("fleet-log".to_owned()).spawn(move || thread.work(settings))?;
-                Some(joining)
+                thread::Builder::new().name("fleet-log".to_owned()).spawn(move || thread.run(settings))?;
+                Some(log_join)
             }
         };
-        let counts = stats.clone();
+        let thread_stats = stats.clone();
         thread::Builder::new()
             .name("fleet-datagrams".to_owned())
-            .spawn(move || datagrams::work(config.listen, &bound, &came, &counts))?;
-        let core = members::MembersThread {
+            .spawn(move || datagrams::run(config.listen, &bound, &received, &thread_stats))?;
+        let members = members::MembersThread {
             datagrams: datagrams.clone(),
             command_receiver,
             stats: stats.clone(),
-            says,
+            view: view_sender,
             peers: addresses,
         };
         thread::Builder::new()
             .name("fleet-members".to_owned())
-            .spawn(move || core.work(settings, &taken))?;
-        Ok(Fleet { commands, datagrams, stats, view, joining, log })
+            .spawn(move || members.run(settings, &socket))?;
+        Ok(Fleet { commands, datagrams, stats, view, log_join, log })
     }
 
-    /// Joins; to be called once, as soon as the state folder, where there is one, has this start durable: which folder,
-    /// and the start's number there, and what it brings to the log. Never waits.
-    pub fn join(&self, start: Option<(u128, u64)>, joining: Option<LogJoin>) {
-        self.command(Command::Join(start));
-        if let (Some(joined), Some(joining)) = (&self.joining, joining) {
-            let _ = joined.try_send(joining); // fails only for a second one
+    /// Joins the fleet. To be called once, as soon as this start is durable in the state folder, if there
+    /// is one, with the id of the folder, the number of the start, and the state for the log. Never blocks.
+    pub fn join(&self, start: Option<(u128, u64)>, log_join: Option<LogJoin>) {
+        self.send(Command::Join(start));
+        if let (Some(sender), Some(log_join)) = (&self.log_join, log_join) {
+            let _ = sender.try_send(log_join); // fails only for a second call
         }
     }
 
-    /// Tells the others that this process leaves. Never waits; not taken where the core is stuck.
+    /// Announces to the other members that this process leaves. Never blocks; refused if the membership
+    /// thread is stuck.
     pub fn leave(&self) {
-        self.command(Command::Leave);
+        self.send(Command::Leave);
     }
 
-    fn command(&self, command: Command) {
+    fn send(&self, command: Command) {
         if self.commands.try_send(command).is_err() {
             self.stats.commands_refused.fetch_add(1, Relaxed);
         }
     }
 
-    /// How things are: none until the socket is there. Newest wins.
+    /// The view of the membership: `None` until the socket is bound. Only the newest is kept.
     pub fn view(&self) -> watch::Receiver<Option<View>> {
         self.view.clone()
     }
 
-    /// How the log is: none where there are no voters, or until this process has joined.
-    pub fn log(&self) -> watch::Receiver<Option<core::Status>> {
+    /// The status of the log: `None` without voters, or until this process has joined.
+    pub fn log(&self) -> watch::Receiver<Option<fleet_log::Status>> {
         self.log.clone()
     }
 
-    /// What is counted.
+    /// The statistics.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
 
-    /// Datagrams that wait for the core.
+    /// Number of queued datagrams.
     pub fn waiting(&self) -> usize {
         self.datagrams.len()
     }
 }
 
-/// Starts the thread of the log's frames: those that come, and where those that go are posted.
-fn carry(
+/// Starts the streams thread; returns the queues of received and of outgoing frames.
+fn start_streams(
     listen: SocketAddr,
     stats: &Arc<Stats>,
-) -> io::Result<(Receiver<Vec<u8>>, mpsc::Sender<streams::Posted>)> {
-    let (came, frames) = bounded(FRAME_CAPACITY);
-    let (posts, posted) = mpsc::channel(FRAME_CAPACITY);
+) -> io::Result<(Receiver<Vec<u8>>, mpsc::Sender<streams::OutgoingFrame>)> {
+    let (received, frames) = bounded(FRAME_CAPACITY);
+    let (outgoing, outgoing_receiver) = mpsc::channel(FRAME_CAPACITY);
     let stats = stats.clone();
     thread::Builder::new()
         .name("fleet-streams".to_owned())
-        .spawn(move || streams::work(listen, posted, &came, &stats))?;
-    Ok((frames, posts))
+        .spawn(move || streams::run(listen, outgoing_receiver, &received, &stats))?;
+    Ok((frames, outgoing))
 }
 
-/// Counts as the core has them, for all to read.
+/// Copies the counts of membership to the shared statistics.
 fn publish(stats: &Stats, counts: &Counts) {
     let Counts { corrupt, foreign, newer, old, malformed, stalls } = *counts;
     for (at, count) in [corrupt, foreign, newer, old, malformed].into_iter().enumerate() {
--- a/src/fleet/host/streams.rs
+++ b/src/fleet/host/streams.rs
@@ -1,5 +1,5 @@
-//! The thread that carries the log's frames, over connections that each go one way: who has something to say connects.
-//! A peer that does not read holds up what is for it, and nothing else.
+//! The thread that carries the log's frames over one-way connections, each opened by the sender. A peer
+//! that does not read delays its own frames only.
 
 use super::Stats;
 use crate::TcpConnection;
@@ -16,45 +16,50 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::runtime::Builder;
-use tokio::sync::mpsc::{self, error::TrySendError as Unqueued};
+use tokio::sync::mpsc::{self, error::TrySendError as QueueError};
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 use tokio_util::bytes::Bytes;
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 use tracing::warn;
 
-/// Frames that may wait for one peer: at more the newest is dropped, as any may be lost on its way.
+/// Frames that may be queued for one peer; when the queue is full the newest is dropped, as any may be lost
+/// in transit.
 pub const PEER_FRAME_CAPACITY: usize = 64;
-/// Connections taken at most.
-const TAKEN_MOST: usize = 2048;
-/// A connection that is not up by then has failed, and what waits for it is dropped: it is said again.
-const CONNECT: Duration = Duration::from_secs(1);
-/// A frame that is not taken by then is lost, with its connection.
-const WRITE: Duration = Duration::from_secs(3);
-/// Wait after a failed connect or accept, and between two looks at an address that is in use.
-const PAUSE: Duration = Duration::from_millis(100);
-/// A connection on which nothing is said for so long is closed.
-const IDLE: Duration = Duration::from_secs(60);
-/// Connections that wait to be taken.
+/// Limit on incoming connections.
+const MAX_CONNECTIONS: usize = 2048;
+/// Connect timeout; the frame that waits for the connection is then dropped, as its sender repeats it.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Write timeout of a frame; the frame is then lost, and its connection is closed.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Delay after a failed connect or accept, and between attempts to bind an address in use.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Idle timeout of a connection.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Backlog of connections not yet accepted.
 const BACKLOG: u32 = 128;
 
-/// A frame, and where it goes.
-pub(super) type Posted = (SocketAddr, Vec<u8>);
+/// A frame and its destination.
+pub(super) type OutgoingFrame = (SocketAddr, Vec<u8>);
 
 /// Carries frames until the process ends.
-pub(super) fn work(
+pub(super) fn run(
     listen: SocketAddr,
-    posted: mpsc::Receiver<Posted>,
-    came: &Sender<Vec<u8>>,
+    outgoing: mpsc::Receiver<OutgoingFrame>,
+    received: &Sender<Vec<u8>>,
     stats: &Arc<Stats>,
 ) {
     let runtime = match Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(e) => return warn!("fleet: {e}; this process has no part in the log"),
+        Err(e) => {
+            return warn!(
+                "fleet: could not start the streams runtime: {e}; this process takes no part in the log"
+            );
+        }
     };
     LocalSet::new().block_on(&runtime, async {
-        spawn_local(take(listen, came.clone(), stats.clone()));
-        post(listen, posted, stats).await;
+        spawn_local(accept(listen, received.clone(), stats.clone()));
+        dispatch(listen, outgoing, stats).await;
     });
 }
 
@@ -62,47 +67,47 @@
     LengthDelimitedCodec::builder().little_endian().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
-/// Takes connections, and the frames that come over them.
-async fn take(listen: SocketAddr, came: Sender<Vec<u8>>, stats: Arc<Stats>) {
+/// Accepts connections and queues the frames received on them.
+async fn accept(listen: SocketAddr, received: Sender<Vec<u8>>, stats: Arc<Stats>) {
     let listener = bind(listen).await;
-    let taken = Rc::new(Cell::new(0));
+    let connections = Rc::new(Cell::new(0));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
             continue;
         };
-        if taken.get() >= TAKEN_MOST {
-            continue; // dropped
+        if connections.get() >= MAX_CONNECTIONS {
+            continue; // closes the new connection
         }
-        taken.set(taken.get() + 1);
-        let (taken, came, stats) = (taken.clone(), came.clone(), stats.clone());
+        connections.set(connections.get() + 1);
+        let (connections, received, stats) = (connections.clone(), received.clone(), stats.clone());
         spawn_local(async move {
             let mut frames = FramedRead::new(TcpConnection::new(stream), codec());
-            // A frame that is too long, or cut short, ends its connection.
-            while let Ok(Some(Ok(frame))) = timeout(IDLE, frames.next()).await {
+            // A frame that is too long or truncated ends its connection.
+            while let Ok(Some(Ok(frame))) = timeout(IDLE_TIMEOUT, frames.next()).await {
                 stats.frames[0].fetch_add(1, Relaxed);
-                if let Err(TrySendError::Full(_)) = came.try_send(frame.to_vec()) {
+                if let Err(TrySendError::Full(_)) = received.try_send(frame.to_vec()) {
                     stats.frames_lost.fetch_add(1, Relaxed);
                 }
             }
-            taken.set(taken.get() - 1);
+            connections.set(connections.get() - 1);
         });
     }
 }
 
-/// During an upgrade the older process has the address until it ends.
+/// Binds the address, retrying: during a hot restart the predecessor holds it until it ends.
 async fn bind(listen: SocketAddr) -> TcpListener {
-    let mut told = None;
+    let mut last_error = None;
     loop {
         match listen_at(listen) {
             Ok(listener) => return listener,
             Err(e) => {
-                if told.replace(e.kind()) != Some(e.kind()) && e.kind() != ErrorKind::AddrInUse {
+                if last_error.replace(e.kind()) != Some(e.kind()) && e.kind() != ErrorKind::AddrInUse {
                     warn!(
-                        "fleet: {listen}: {e}; this process hears nothing of the log until that is mended"
+                        "fleet: {listen}: bind failed: {e}; retrying, this process receives no log frames until it succeeds"
                     );
                 }
-                sleep(PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -115,51 +120,51 @@
     socket.listen(BACKLOG)
 }
 
-/// Hands each frame to the task of its peer.
-async fn post(own: SocketAddr, mut posted: mpsc::Receiver<Posted>, stats: &Arc<Stats>) {
+/// Passes each frame to the task of its peer.
+async fn dispatch(own: SocketAddr, mut outgoing: mpsc::Receiver<OutgoingFrame>, stats: &Arc<Stats>) {
     let mut peers: HashMap<SocketAddr, mpsc::Sender<Vec<u8>>> = HashMap::new();
-    while let Some((to, frame)) = posted.recv().await {
-        let peer = peers.entry(to).or_insert_with(|| begin(own, to, stats));
+    while let Some((to, frame)) = outgoing.recv().await {
+        let peer = peers.entry(to).or_insert_with(|| start_delivery(own, to, stats));
         match peer.try_send(frame) {
             Ok(()) => {}
-            Err(Unqueued::Full(_)) => drop(stats.frames_lost.fetch_add(1, Relaxed)),
-            // Its task has ended as nothing was said for long.
-            Err(Unqueued::Closed(frame)) => {
+            Err(QueueError::Full(_)) => drop(stats.frames_lost.fetch_add(1, Relaxed)),
+            // The task of the peer has ended after the idle timeout.
+            Err(QueueError::Closed(frame)) => {
                 peers.retain(|_, peer| !peer.is_closed());
-                let peer = peers.entry(to).or_insert_with(|| begin(own, to, stats));
-                let _ = peer.try_send(frame); // it is empty
+                let peer = peers.entry(to).or_insert_with(|| start_delivery(own, to, stats));
+                let _ = peer.try_send(frame); // a new queue is empty
             }
         }
     }
 }
 
-fn begin(own: SocketAddr, to: SocketAddr, stats: &Arc<Stats>) -> mpsc::Sender<Vec<u8>> {
-    let (frames, waiting) = mpsc::channel(PEER_FRAME_CAPACITY);
-    spawn_local(deliver(own, to, waiting, stats.clone()));
-    frames
+fn start_delivery(own: SocketAddr, to: SocketAddr, stats: &Arc<Stats>) -> mpsc::Sender<Vec<u8>> {
+    let (sender, queue) = mpsc::channel(PEER_FRAME_CAPACITY);
+    spawn_local(deliver(own, to, queue, stats.clone()));
+    sender
 }
 
-/// Delivers to one peer until nothing has been for it for long.
-async fn deliver(own: SocketAddr, to: SocketAddr, mut waiting: mpsc::Receiver<Vec<u8>>, stats: Arc<Stats>) {
-    while let Ok(Some(first)) = timeout(IDLE, waiting.recv()).await {
-        let Ok(Ok(stream)) = timeout(CONNECT, connect(own, to)).await else {
+/// Delivers frames to one peer until none arrived for the idle timeout.
+async fn deliver(own: SocketAddr, to: SocketAddr, mut queue: mpsc::Receiver<Vec<u8>>, stats: Arc<Stats>) {
+    while let Ok(Some(first)) = timeout(IDLE_TIMEOUT, queue.recv()).await {
+        let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, connect(own, to)).await else {
             stats.frames_lost.fetch_add(1, Relaxed);
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
             continue;
         };
         let (mut frames, mut next) = (FramedWrite::new(TcpConnection::new(stream), codec()), Some(first));
         while let Some(frame) = next {
             stats.frames[1].fetch_add(1, Relaxed);
-            if !matches!(timeout(WRITE, frames.send(Bytes::from(frame))).await, Ok(Ok(()))) {
+            if !matches!(timeout(WRITE_TIMEOUT, frames.send(Bytes::from(frame))).await, Ok(Ok(()))) {
                 stats.frames_lost.fetch_add(1, Relaxed);
                 break;
             }
-            next = timeout(IDLE, waiting.recv()).await.ok().flatten();
+            next = timeout(IDLE_TIMEOUT, queue.recv()).await.ok().flatten();
         }
     }
 }
 
-/// From the address at which this process is in the fleet: there it is known.
+/// Connects from the IP address that this process listens on, by which its peers know it.
 async fn connect(own: SocketAddr, to: SocketAddr) -> io::Result<TcpStream> {
     let socket = if to.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     if own.is_ipv4() == to.is_ipv4() && !own.ip().is_unspecified() {
--- a/src/net/persistence.rs
+++ b/src/net/persistence.rs
@@ -89,11 +89,7 @@
 
     /// What this process joins the fleet log with. Call it once, after the incarnation is durable.
     pub fn join_data(&self, folder: u128) -> LogJoin {
-        LogJoin {
-            id: (folder as u64).max(1),
-            memory: self.loaded.take(),
-            writer: Some(self.writer.clone()),
-        }
+        LogJoin { id: (folder as u64).max(1), state: self.loaded.take(), writer: Some(self.writer.clone()) }
     }
 
     /// Handles notifications from the disk thread.
