--- a/src/fleet/members/roster.rs
+++ b/src/fleet/members/roster.rs
@@ -27,12 +27,12 @@
 /// than the time in which half of the known members would be crashed machines that were replaced under
 /// other addresses.
 const FORGET_LOST_AFTER: Duration = Duration::from_secs(300);
-/// A process that starts reports no split for this long, until the other members are known.
+/// A process that starts reports no split for this long, while it learns of the other members.
 const STARTUP_GRACE: Duration = Duration::from_secs(5);
 /// Limit on the names of lost members in a view.
 const MAX_LOST_NAMES: usize = 8;
 
-/// How the view of the fleet stands.
+/// Whether the view of the fleet has converged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
     /// Membership is stable, and more than half of the known members are up.
--- a/src/fleet/members/swim.rs
+++ b/src/fleet/members/swim.rs
@@ -295,8 +295,8 @@
     /// Digest of the members that are up, including this process: equal on processes that know the same
     /// members.
     fn digest(&self) -> u64 {
-        let here = self.swim.iter_members().map(Member::id).chain([self.swim.identity()]);
-        here.map(|peer| {
+        let up = self.swim.iter_members().map(Member::id).chain([self.swim.identity()]);
+        up.map(|peer| {
             let encoded = postcard::to_stdvec(&(peer.address, peer.generation, peer.leaving));
             u64::from(crc32fast::hash(&encoded.unwrap_or_default())) // serializing to memory does not fail
         })
@@ -305,7 +305,7 @@
 
     /// Sends its member list, up or down, starting at a random member, within the page limit until the next
     /// check.
-    fn send_pages(&mut self, sender: SocketAddr) {
+    fn send_pages(&mut self, to: SocketAddr) {
         let me = Member::alive(self.swim.identity().clone());
         let all: Vec<&Member<Peer>> = self.swim.iter_membership_state().chain([&me]).collect();
         let first = self.rng.next_u32() as usize % all.len();
@@ -317,19 +317,19 @@
                     return;
                 }
                 self.page_budget -= 1;
-                self.outgoing.push((sender, std::mem::replace(&mut page, vec![PAGE])));
+                self.outgoing.push((to, std::mem::replace(&mut page, vec![PAGE])));
             }
             page.extend(encoded);
         }
-        self.outgoing.push((sender, page));
+        self.outgoing.push((to, page));
     }
 
     /// Sends the digest of the member list to a random member that is up.
     fn send_digest(&mut self) {
-        let here: Vec<SocketAddr> = self.swim.iter_members().map(|member| member.id().address).collect();
-        let Some(one) = here.get(self.rng.next_u32() as usize % here.len().max(1)) else { return };
+        let up: Vec<SocketAddr> = self.swim.iter_members().map(|member| member.id().address).collect();
+        let Some(peer) = up.get(self.rng.next_u32() as usize % up.len().max(1)) else { return };
         let digest = encode(DIGEST, &(self.settings.me.address, self.digest(), self.settings.me.start));
-        self.outgoing.push((*one, digest));
+        self.outgoing.push((*peer, digest));
     }
 
     /// Detects a stall of the process by a late timer, and holds back the timers' clock by the delay.
@@ -356,8 +356,8 @@
         // Of the members that are down only those that had announced leaving: this may be the first news of
         // them.
         let counted = |member: &&Member<Peer>| member.state() != State::Down || member.id().leaving;
-        let here = self.swim.iter_membership_state().filter(counted).map(Member::id);
-        let changes = self.roster.update(now, here, suspects);
+        let members = self.swim.iter_membership_state().filter(counted).map(Member::id);
+        let changes = self.roster.update(now, members, suspects);
         if changes.iter().any(|change| matches!(change, Change::Joined(_))) {
             (self.next_compare, self.compare_interval) = (now, CHECK_INTERVAL);
         }
