--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! `gullpulley`: the command line and nothing else. The sidecar is in `net/`, its decisions in the library.
+//! The command line of `gullpulley`. The sidecar itself is in `net/`, its load balancing policy in the library.
 #![forbid(unsafe_code)]
 
 mod admin_client;
@@ -18,29 +18,29 @@
 use tokio::task::LocalSet;
 use tracing::warn;
 
-/// The process failed while it ran, or the door answered no.
-const FAILED: u8 = 1;
-/// The configuration or the command is at fault.
-const AT_FAULT: u8 = 2;
-/// No process answered at the door.
-const UNREACHED: u8 = 3;
+/// The sidecar could not start or go on, or the admin API refused the command.
+const EXIT_FAILED: u8 = 1;
+/// The configuration or the command line is invalid.
+const EXIT_INVALID: u8 = 2;
+/// No process answered at the address of the admin API.
+const EXIT_UNREACHABLE: u8 = 3;
 
-const CODES: &str = "\
+const AFTER_HELP: &str = "\
 Exit codes:
-  0  done: the sidecar drained after SIGTERM, the file is right, the order is in force
-  1  failed: the sidecar could not start or go on, or the door refused the order
-  2  at fault: the configuration or the command line, named with file, line and key
-  3  unreached: nobody answered at the operators' door
+  0  success: the sidecar drained after SIGTERM, the file is valid, the command is in effect
+  1  failed: the sidecar could not start or go on, or the admin API refused the command
+  2  invalid: the configuration or the command line has errors, reported with file, line and key
+  3  unreachable: no sidecar answered at the address of the admin API
 
 A first configuration:
   gullpulley config example > front.toml
   gullpulley check front.toml
   gullpulley run --config front.toml";
 
-/// A load balancing sidecar: stands before your services, sends each request to the less busy of two endpoints,
-/// tries again only where that is harmless, and gives up in time.
+/// A load balancing sidecar: sends each request for your services to the less busy of two endpoints, retries only
+/// where that is safe, and gives up within the deadline.
 #[derive(Parser)]
-#[command(name = "gullpulley", version, after_help = CODES)]
+#[command(name = "gullpulley", version, after_help = AFTER_HELP)]
 struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
@@ -50,45 +50,45 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve in the foreground until SIGTERM; done without a command where $ROUTER_CONFIG is set
+    /// Serve in the foreground until SIGTERM; the default command when $ROUTER_CONFIG is set
     Run(Run),
-    /// Read configurations and name every fault with file, line, key and what would be right
+    /// Validate configurations and report every error with file, line, key and how to fix it
     Check {
-        /// Files to read: an operator's TOML or the platform's JSON
+        /// Files to validate: an operator's TOML or the platform's JSON
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Show an example, or what holds
+    /// Show an example configuration, or the settings in effect
     Config {
         #[command(subcommand)]
-        what: Shown,
+        what: ConfigCommand,
     },
-    /// Show whether a running sidecar takes clients, and its figures
+    /// Show whether a running sidecar accepts clients, and its metrics
     Status {
         #[command(flatten)]
-        at: At,
-        /// The figures as a JSON object
+        at: AdminAddress,
+        /// Print the metrics as a JSON object
         #[arg(long)]
         json: bool,
     },
-    /// Take an endpoint out: nothing new goes there until `resume`, also over a restart
+    /// Eject an endpoint: it gets no new requests until `resume`, even after a restart
     Suspend {
         #[command(flatten)]
-        at: At,
+        at: AdminAddress,
         /// The endpoint's uid, as discovery lists it
         uid: String,
     },
-    /// Use an endpoint again; it gets little at first, as one freshly started does
+    /// Use an endpoint again; like a newly started one, it goes through slow start
     Resume {
         #[command(flatten)]
-        at: At,
+        at: AdminAddress,
         /// The endpoint's uid, as discovery lists it
         uid: String,
     },
-    /// End a running sidecar as SIGTERM does: take no more clients, finish what was taken, exit
+    /// Stop a running sidecar as SIGTERM does: accept no more clients, finish accepted requests, exit
     Drain {
         #[command(flatten)]
-        at: At,
+        at: AdminAddress,
     },
     /// Print a completion script for a shell
     Completions {
@@ -99,185 +99,195 @@
 
 #[derive(Args)]
 struct Run {
-    /// The configuration; without it the file that $ROUTER_CONFIG names
+    /// The configuration file; by default the one that $ROUTER_CONFIG names
     #[arg(long, value_name = "FILE", env = "GULLPULLEY_CONFIG")]
     config: Option<PathBuf>,
-    /// How the log is written, whatever log.format says
+    /// The format of the log; overrides log.format
     #[arg(long, value_enum, value_name = "FORMAT")]
-    log_format: Option<Format>,
-    /// What is logged, whatever log.level says: error, warn, info, debug, trace, or such by target
+    log_format: Option<LogFormat>,
+    /// The log level; overrides log.level: error, warn, info, debug, trace, or a list of levels by target
     #[arg(long, value_name = "LEVEL")]
     log_level: Option<String>,
 }
 
-/// How the log is written.
+/// The format of the log.
 #[derive(Clone, Copy, PartialEq, ValueEnum)]
-enum Format {
-    /// For people
+enum LogFormat {
+    /// Plain text, for people
     Text,
-    /// A JSON object a line
+    /// One JSON object per line
     Json,
 }
 
 #[derive(Subcommand)]
-enum Shown {
-    /// A commented file with every key, ready for a trial on one machine
+enum ConfigCommand {
+    /// Print a commented file with every key, ready to try on one machine
     Example,
-    /// What holds, key by key, and where each value comes from: file and line, variable, or default
+    /// Print each setting in effect and its source: file and line, environment variable, or default
     Show {
-        /// The file; without it the one that $GULLPULLEY_CONFIG or $ROUTER_CONFIG names
+        /// The configuration file; by default the one that $GULLPULLEY_CONFIG or $ROUTER_CONFIG names
         #[arg(env = "GULLPULLEY_CONFIG")]
         file: Option<PathBuf>,
     },
 }
 
-/// Where a running sidecar's operators' door is.
+/// The address of a running sidecar's admin API.
 #[derive(Args)]
-struct At {
-    /// The address of the operators' door
-    #[arg(long, value_name = "ADDRESS", env = "GULLPULLEY_DOOR", conflicts_with = "config")]
-    door: Option<SocketAddr>,
-    /// A configuration that names the door as listen.operators
+struct AdminAddress {
+    /// The address of the admin API
+    #[arg(long = "door", value_name = "ADDRESS", env = "GULLPULLEY_DOOR", conflicts_with = "config")]
+    address: Option<SocketAddr>,
+    /// A configuration file that sets that address as listen.operators
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
 }
 
-/// How a command ends where it does not end well.
-struct Ended(u8, String);
+/// The exit code of a command that failed, and the message to print.
+struct CommandError(u8, String);
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = match cli.command {
-        None if cli.run.file().is_none() => {
-            say(io::stderr(), &Cli::command().render_help());
-            return ExitCode::from(AT_FAULT);
+    let result = match cli.command {
+        None if cli.run.config_file().is_none() => {
+            print_line(io::stderr(), &Cli::command().render_help());
+            return ExitCode::from(EXIT_INVALID);
         }
         None => run(&cli.run),
         Some(Command::Run(args)) => run(&args),
         Some(Command::Check { files }) => check(&files),
-        Some(Command::Config { what: Shown::Example }) => {
-            say(io::stdout(), &keys::example().trim_end());
+        Some(Command::Config { what: ConfigCommand::Example }) => {
+            print_line(io::stdout(), &keys::example().trim_end());
             Ok(())
         }
-        Some(Command::Config { what: Shown::Show { file } }) => show(file),
-        Some(Command::Status { at, json }) => at.ask(|door| admin_client::status(door, json)),
+        Some(Command::Config { what: ConfigCommand::Show { file } }) => show(file),
+        Some(Command::Status { at, json }) => at.call(|address| admin_client::status(address, json)),
         Some(Command::Suspend { at, uid }) => {
-            at.ask(|door| admin_client::post(door, &format!("endpoints/{uid}/suspend")))
+            at.call(|address| admin_client::post(address, &format!("endpoints/{uid}/suspend")))
         }
         Some(Command::Resume { at, uid }) => {
-            at.ask(|door| admin_client::post(door, &format!("endpoints/{uid}/resume")))
+            at.call(|address| admin_client::post(address, &format!("endpoints/{uid}/resume")))
         }
-        Some(Command::Drain { at }) => at.ask(|door| admin_client::post(door, "drain")),
+        Some(Command::Drain { at }) => at.call(|address| admin_client::post(address, "drain")),
         Some(Command::Completions { shell }) => {
             let mut script = Vec::new();
             clap_complete::generate(shell, &mut Cli::command(), "gullpulley", &mut script);
-            say(io::stdout(), &String::from_utf8_lossy(&script).trim_end());
+            print_line(io::stdout(), &String::from_utf8_lossy(&script).trim_end());
             Ok(())
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Ended(code, problem)) => {
-            for line in problem.lines() {
-                say(io::stderr(), &format_args!("gullpulley: {line}"));
+        Err(CommandError(code, message)) => {
+            for line in message.lines() {
+                print_line(io::stderr(), &format_args!("gullpulley: {line}"));
             }
             ExitCode::from(code)
         }
     }
 }
 
-/// Writes a line where somebody may read it; who closed the stream misses it, and nothing else happens.
-fn say(mut to: impl Write, line: &dyn Display) {
-    let _ = writeln!(to, "{line}");
+/// Writes a line to standard output or error. Errors are ignored: a closed stream must not fail the command.
+fn print_line(mut stream: impl Write, line: &dyn Display) {
+    let _ = writeln!(stream, "{line}");
 }
 
 impl Run {
-    fn file(&self) -> Option<PathBuf> {
-        self.config.clone().or_else(told)
+    fn config_file(&self) -> Option<PathBuf> {
+        self.config.clone().or_else(platform_config_file)
     }
 }
 
-/// The file that the platform names.
-fn told() -> Option<PathBuf> {
+/// The configuration file that the platform names.
+fn platform_config_file() -> Option<PathBuf> {
     std::env::var_os("ROUTER_CONFIG").map(PathBuf::from)
 }
 
-impl From<AdminError> for Ended {
+impl From<AdminError> for CommandError {
     fn from(error: AdminError) -> Self {
         let code = match error {
-            AdminError::InvalidRequest(_) => AT_FAULT,
-            AdminError::NoAnswer(..) => UNREACHED,
-            AdminError::Refused(..) => FAILED,
+            AdminError::InvalidRequest(_) => EXIT_INVALID,
+            AdminError::NoAnswer(..) => EXIT_UNREACHABLE,
+            AdminError::Refused(..) => EXIT_FAILED,
         };
-        Ended(code, error.to_string())
+        CommandError(code, error.to_string())
     }
 }
 
-impl At {
-    /// Asks the door, and shows what it answers.
-    fn ask(&self, call: impl FnOnce(SocketAddr) -> Result<String, AdminError>) -> Result<(), Ended> {
-        let answer = call(self.address()?)?;
-        say(io::stdout(), &answer.trim_end());
+impl AdminAddress {
+    /// Calls the admin API and prints its answer.
+    fn call(
+        &self,
+        request: impl FnOnce(SocketAddr) -> Result<String, AdminError>,
+    ) -> Result<(), CommandError> {
+        let answer = request(self.resolve()?)?;
+        print_line(io::stdout(), &answer.trim_end());
         Ok(())
     }
 
-    fn address(&self) -> Result<SocketAddr, Ended> {
-        if let Some(door) = self.door {
-            return Ok(door);
+    fn resolve(&self) -> Result<SocketAddr, CommandError> {
+        if let Some(address) = self.address {
+            return Ok(address);
         }
-        let remedy = "name a door with --door ADDRESS, or a configuration that has one with --config FILE";
-        let file = self.config.as_ref().ok_or_else(|| Ended(AT_FAULT, remedy.to_owned()))?;
-        let no_door = || Ended(AT_FAULT, format!("{}: listen.operators: there is no door", file.display()));
-        load(file)?.control.ok_or_else(no_door)
+        let usage = "no admin API given: use --door ADDRESS, or --config FILE with listen.operators set";
+        let file = self.config.as_ref().ok_or_else(|| CommandError(EXIT_INVALID, usage.to_owned()))?;
+        let not_set = || {
+            CommandError(
+                EXIT_INVALID,
+                format!("{}: listen.operators: not set, so there is no admin API", file.display()),
+            )
+        };
+        load(file)?.control.ok_or_else(not_set)
     }
 }
 
-fn load(file: &Path) -> Result<Config, Ended> {
-    Config::load(file, &Vars::from_environment()).map_err(|faults| Ended(AT_FAULT, faults.to_string()))
+fn load(file: &Path) -> Result<Config, CommandError> {
+    Config::load(file, &Vars::from_environment())
+        .map_err(|error| CommandError(EXIT_INVALID, error.to_string()))
 }
 
-fn run(args: &Run) -> Result<(), Ended> {
-    let unnamed =
-        || Ended(AT_FAULT, "name a configuration with --config FILE or $ROUTER_CONFIG".to_owned());
-    let file = args.file().ok_or_else(unnamed)?;
+fn run(args: &Run) -> Result<(), CommandError> {
+    let no_file = || {
+        CommandError(EXIT_INVALID, "give a configuration with --config FILE or $ROUTER_CONFIG".to_owned())
+    };
+    let file = args.config_file().ok_or_else(no_file)?;
     let mut config = load(&file)?;
     config.log.level = args.log_level.clone().unwrap_or(config.log.level);
-    config.log.json = args.log_format.map_or(config.log.json, |format| format == Format::Json);
-    let log = Logging::start(&config.log).map_err(|e| Ended(AT_FAULT, e.to_string()))?;
-    for fault in &config.list_faults {
-        warn!("{fault}; no endpoint is known until discovery tells");
+    config.log.json = args.log_format.map_or(config.log.json, |format| format == LogFormat::Json);
+    let log = Logging::start(&config.log).map_err(|e| CommandError(EXIT_INVALID, e.to_string()))?;
+    for error in &config.list_faults {
+        warn!("{error}; no endpoint is known until discovery tells");
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| Ended(FAILED, e.to_string()))?;
-    let served = LocalSet::new().block_on(&runtime, net::run(config, file, log.handle()));
+    let runtime = runtime.map_err(|e| CommandError(EXIT_FAILED, e.to_string()))?;
+    let outcome = LocalSet::new().block_on(&runtime, net::run(config, file, log.handle()));
     log.shutdown();
-    served.map_err(|problem| Ended(FAILED, problem))
+    outcome.map_err(|message| CommandError(EXIT_FAILED, message))
 }
 
-fn check(files: &[PathBuf]) -> Result<(), Ended> {
-    // What a file says is checked by itself: variables of this shell are not those of the process to be.
-    let read = files.iter().map(|file| (file, Config::load(file, &Vars::default())));
-    let mut faults = Vec::new();
-    for (file, config) in read {
+fn check(files: &[PathBuf]) -> Result<(), CommandError> {
+    // Environment variables are left out: those of this shell are not those that the sidecar will run with.
+    let loaded = files.iter().map(|file| (file, Config::load(file, &Vars::default())));
+    let mut errors = Vec::new();
+    for (file, config) in loaded {
         match config {
             Ok(config) if !config.list_faults.is_empty() => {
-                faults.push(ConfigError(config.list_faults).to_string());
+                errors.push(ConfigError(config.list_faults).to_string());
             }
-            Ok(_) => say(io::stdout(), &format_args!("{}: right", file.display())),
-            Err(error) => faults.push(error.to_string()),
+            Ok(_) => print_line(io::stdout(), &format_args!("{}: right", file.display())),
+            Err(error) => errors.push(error.to_string()),
         }
     }
-    if faults.is_empty() { Ok(()) } else { Err(Ended(AT_FAULT, faults.join("\n"))) }
+    if errors.is_empty() { Ok(()) } else { Err(CommandError(EXIT_INVALID, errors.join("\n"))) }
 }
 
-fn show(file: Option<PathBuf>) -> Result<(), Ended> {
-    let file = file.or_else(told);
-    let file = file.ok_or_else(|| Ended(AT_FAULT, "name a file".to_owned()))?;
+fn show(file: Option<PathBuf>) -> Result<(), CommandError> {
+    let file = file.or_else(platform_config_file);
+    let file = file.ok_or_else(|| CommandError(EXIT_INVALID, "give a configuration file".to_owned()))?;
     let (config, vars) = (load(&file)?, Vars::from_environment());
     let origins = config.origins(&file, &vars);
     for (key, value) in config.entries() {
         let origin = origins.get(&key).map_or("default", String::as_str);
-        say(io::stdout(), &format_args!("{:<60} # {origin}", format!("{key} = {value}")));
+        print_line(io::stdout(), &format_args!("{:<60} # {origin}", format!("{key} = {value}")));
     }
     Ok(())
 }
--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -49,7 +49,7 @@
         (&["--version"], 0, env!("CARGO_PKG_VERSION")),
         (&["statsu"], 2, "status"),
         (&["status"], 2, "--door ADDRESS"),
-        (&["status", "--config", &right], 2, "listen.operators: there is no door"),
+        (&["status", "--config", &right], 2, "listen.operators: not set, so there is no admin API"),
         (&["status", "--door", &nobody], 3, "refused"),
         (&["suspend", "--door", &nobody, "a b"], 2, "invalid request to the admin API"),
         (&["completions", "bash"], 0, "complete -F"),
