--- a/src/config/fault.rs
+++ b/src/config/fault.rs
@@ -1,24 +1,24 @@
-//! What is wrong with a configuration: where it stands, what is wrong there, and what would be right.
+//! Faults of a configuration: location, problem and remedy.
 
 use std::fmt;
 use std::ops::Range;
 use thiserror::Error;
 
-/// One fault of a configuration. Shown on one line.
+/// A fault of a configuration, displayed on one line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// The file and line, the file alone, or the variable in which it stands.
+    /// The location: file and line, the file alone, or an environment variable.
     pub place: String,
-    /// The key at fault; empty where the text can't be read at all.
+    /// The key at fault; empty if the text can't be parsed.
     pub key: String,
-    /// What is wrong with it.
+    /// What is wrong.
     pub problem: String,
-    /// What would be right; empty where the problem says so itself.
+    /// How to fix it; empty where the problem makes that clear.
     pub remedy: String,
 }
 
 impl Fault {
-    /// A fault at a place; any of the other parts may be empty.
+    /// Creates a fault. Any part but the place may be empty; line breaks in the problem become spaces.
     pub fn new(
         place: impl Into<String>,
         key: impl Into<String>,
@@ -38,9 +38,9 @@
     }
 }
 
-/// Every fault of a configuration, a line each.
+/// All faults of a configuration, displayed one per line.
 #[derive(Clone, Debug, Error, PartialEq)]
-#[error("{}", lines(.0))]
+#[error("{}", join_lines(.0))]
 pub struct ConfigError(pub Vec<Fault>);
 
 impl From<Fault> for ConfigError {
@@ -49,24 +49,24 @@
     }
 }
 
-fn lines(faults: &[Fault]) -> String {
+fn join_lines(faults: &[Fault]) -> String {
     faults.iter().map(Fault::to_string).collect::<Vec<_>>().join("\n")
 }
 
-/// The number, from 1, of the line in which a span of a text begins.
+/// The line number, from 1, at which a span of a text begins.
 pub(super) fn line(text: &str, span: &Range<usize>) -> usize {
     1 + text.as_bytes()[..span.start.min(text.len())].iter().filter(|&&byte| byte == b'\n').count()
 }
 
-/// "did you mean `x`?" for the name that comes nearest, if any comes near.
-pub(super) fn near<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> String {
-    let likeness = |other: &&str| (strsim::jaro_winkler(name, other) * 1000.0) as u32;
-    let nearest = known.max_by_key(likeness).filter(|other| likeness(other) >= 780);
-    nearest.map_or_else(String::new, |other| format!("did you mean `{other}`?"))
+/// Returns "did you mean `x`?" for the most similar known name, or an empty string if none is similar enough.
+pub(super) fn suggest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> String {
+    let similarity = |other: &&str| (strsim::jaro_winkler(name, other) * 1000.0) as u32;
+    let best_match = known.max_by_key(similarity).filter(|other| similarity(other) >= 780);
+    best_match.map_or_else(String::new, |other| format!("did you mean `{other}`?"))
 }
 
-/// Faults as somebody mending them meets them: those of no line first, then down the file.
-pub(super) fn in_order(mut faults: Vec<Fault>) -> Vec<Fault> {
+/// Sorts faults in the order of their correction: those without a line first, then by line.
+pub(super) fn sort_by_line(mut faults: Vec<Fault>) -> Vec<Fault> {
     let line =
         |fault: &Fault| fault.place.rsplit_once(':').and_then(|(_, line)| line.parse::<usize>().ok());
     faults.sort_by_key(line);
--- a/src/config/keys.rs
+++ b/src/config/keys.rs
@@ -30,7 +30,7 @@
 
 /// What holds where a key is not written.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Unsaid {
+pub enum DefaultValue {
     /// It must be written.
     Required,
     /// There is none; the example shows this.
@@ -47,25 +47,25 @@
     /// What it takes.
     pub kind: Kind,
     /// What holds without it.
-    pub unsaid: Unsaid,
+    pub default: DefaultValue,
     /// Where the platform's JSON says the same.
     pub json: &'static str,
     /// What it says, in a line.
-    pub says: &'static str,
+    pub description: &'static str,
 }
 
 const fn key(
     path: &'static str,
     kind: Kind,
-    unsaid: Unsaid,
+    default: DefaultValue,
     json: &'static str,
-    says: &'static str,
+    description: &'static str,
 ) -> Key {
-    Key { path, kind, unsaid, json, says }
+    Key { path, kind, default, json, description }
 }
 
+use DefaultValue::{Is, None as Nothing, Required};
 use Kind::*;
-use Unsaid::{Is, None as Nothing, Required};
 
 /// The keys that stand once.
 #[rustfmt::skip] // a table, read by its columns
@@ -143,13 +143,13 @@
 
 impl Kind {
     /// What would be right.
-    pub fn right(self) -> String {
+    pub fn remedy(self) -> String {
         match self {
             Text => "write some text in quotes".to_owned(),
             Address => "write an address and port, such as \"127.0.0.1:7070\"".to_owned(),
             Hex => "write up to 16 hexadecimal digits in quotes".to_owned(),
-            Whole(least, most) => format!("write a whole number from {least} to {most}"),
-            Number(least, most) => format!("write a number from {least} to {most}"),
+            Whole(min, max) => format!("write a whole number from {min} to {max}"),
+            Number(min, max) => format!("write a number from {min} to {max}"),
             Flag => "write true or false".to_owned(),
             Time(0) => "write a time with its unit in quotes, such as \"250ms\"".to_owned(),
             Time(_) => "write a time above zero with its unit in quotes, such as \"250ms\"".to_owned(),
@@ -191,12 +191,12 @@
 
 /// A key's line; `mark` stands before one that is required.
 fn entry(key: &Key, name: &str, trial: &str, mark: &'static str) -> String {
-    let (mark, value) = match key.unsaid {
+    let (mark, value) = match key.default {
         Required => (mark, trial),
         Nothing(value) | Is(value) => ("# ", value),
     };
     let written = format!("{mark}{name} = {value}");
-    format!("{written:<40} # {}\n", key.says)
+    format!("{written:<40} # {}\n", key.description)
 }
 
 /// What the example says where something must be said.
--- a/src/config/layers.rs
+++ b/src/config/layers.rs
@@ -1,21 +1,22 @@
-//! The layers of an operator's configuration, and where in them each value stands.
+//! The layers of an operator's configuration, and the origin of each value in them.
 
 use super::Vars;
 use super::fault::line;
 use config::{Environment, Map, Source, Value, ValueKind};
 use toml::de::{DeTable, DeValue};
 
-/// Variables that say what a key says, and the key. The platform sets these; they win over the operator's own.
+/// Environment variables set by the platform, each with the key that it overrides. They take precedence over the
+/// operator's own variables.
 pub(super) const PLATFORM: [(&str, &str); 4] = [
     ("ROUTER_NAME", "name"),
     ("ROUTER_LISTEN", "listen.clients"),
     ("ROUTER_DISCOVERY", "discovery.address"),
     ("ROUTER_CONTROL", "listen.operators"),
 ];
-/// Where a value comes from that nobody wrote.
-pub(super) const UNSAID: &str = "default";
+/// The origin of a default value.
+pub(super) const DEFAULT_ORIGIN: &str = "default";
 
-/// A layer that has been read.
+/// A configuration source that has already been parsed.
 #[derive(Clone, Debug)]
 struct Layer(Map<String, Value>);
 
@@ -29,35 +30,36 @@
     }
 }
 
-/// Puts variables over what is written.
+/// Merges the values of a file with the environment variables that override them.
 pub(super) fn merge(
-    written: Map<String, Value>,
+    file: Map<String, Value>,
     vars: &Vars,
 ) -> Result<Map<String, Value>, config::ConfigError> {
-    let own = vars.0.iter().filter(|(name, _)| *name != "GULLPULLEY_CONFIG");
-    let own: Map<String, String> = own.map(|(name, value)| (name.clone(), value.clone())).collect();
-    let under = Environment::with_prefix("GULLPULLEY").prefix_separator("_").separator("__");
-    // The crate calls them all "the environment"; a fault should name the variable.
-    let named = |(key, value): (String, Value)| {
+    let operator = vars.0.iter().filter(|(name, _)| *name != "GULLPULLEY_CONFIG");
+    let operator: Map<String, String> =
+        operator.map(|(name, value)| (name.clone(), value.clone())).collect();
+    let environment = Environment::with_prefix("GULLPULLEY").prefix_separator("_").separator("__");
+    // The `config` crate gives "the environment" as the origin of all; a fault should name the variable.
+    let with_origin = |(key, value): (String, Value)| {
         let name = format!("$GULLPULLEY_{}", key.to_uppercase().replace('.', "__"));
         (key, Value::new(Some(&name), value.kind))
     };
-    let own = under.source(Some(own)).collect()?.into_iter().map(named).collect();
-    let told = PLATFORM.iter().filter_map(|(name, key)| {
+    let operator = environment.source(Some(operator)).collect()?.into_iter().map(with_origin).collect();
+    let platform = PLATFORM.iter().filter_map(|(name, key)| {
         let value = vars.0.get(*name)?.clone();
         Some(((*key).to_owned(), Value::new(Some(&format!("${name}")), ValueKind::String(value))))
     });
     let layers = config::Config::builder()
-        .add_source(Layer(written))
-        .add_source(Layer(own))
-        .add_source(Layer(told.collect()));
+        .add_source(Layer(file))
+        .add_source(Layer(operator))
+        .add_source(Layer(platform.collect()));
     layers.build()?.collect()
 }
 
-/// A table of a file, each value with its line.
+/// Converts a table of a file; each value's origin is its line.
 pub(super) fn convert_table(file: &str, text: &str, table: &DeTable<'_>) -> Map<String, Value> {
     let entries = table.iter().map(|(name, value)| {
-        // A table's own place is where its name stands.
+        // The origin of a table is the line of its name.
         let span = if value.get_ref().is_table() { name.span() } else { value.span() };
         let origin = format!("{file}:{}", line(text, &span));
         (name.get_ref().to_string(), convert(file, text, &origin, value.get_ref()))
@@ -65,13 +67,13 @@
     entries.collect()
 }
 
-/// A value of a file, which stands at `origin`.
+/// Converts a value of a file with the given origin.
 pub(super) fn convert(file: &str, text: &str, origin: &str, value: &DeValue<'_>) -> Value {
     let kind = match value {
         DeValue::String(value) => ValueKind::String(value.to_string()),
         DeValue::Integer(value) => match i64::from_str_radix(value.as_str(), value.radix()) {
             Ok(value) => ValueKind::I64(value),
-            Err(_) => ValueKind::String(value.as_str().to_owned()), // no key takes as much
+            Err(_) => ValueKind::String(value.as_str().to_owned()), // out of range for every key
         },
         DeValue::Float(value) => value.as_str().parse().map_or(ValueKind::Nil, ValueKind::Float),
         DeValue::Boolean(value) => ValueKind::Boolean(*value),
@@ -89,12 +91,13 @@
     Value::new(Some(&origin.to_owned()), kind)
 }
 
-/// Where a value comes from; layers put together lose where a section began, but not where its keys stand.
+/// The origin of a value. Merging layers drops the origin of a section but keeps those of its keys, so that a
+/// section falls back to the first of these.
 pub(super) fn origin(value: &Value) -> String {
-    let inside = || match &value.kind {
+    let nested = || match &value.kind {
         ValueKind::Table(table) => table.values().map(origin).min(),
         ValueKind::Array(list) => list.first().map(origin),
         _ => None,
     };
-    value.origin().map(str::to_owned).or_else(inside).unwrap_or_else(|| UNSAID.to_owned())
+    value.origin().map(str::to_owned).or_else(nested).unwrap_or_else(|| DEFAULT_ORIGIN.to_owned())
 }
--- a/src/config/router.rs
+++ b/src/config/router.rs
@@ -1,7 +1,7 @@
 //! What the platform tells a sidecar: a JSON file and `ROUTER_*`. Unknown keys are passed over. The first fault
 //! would end the reading: to find them all, what is at fault is replaced by what the example has there.
 
-use super::fault::{ConfigError, Fault, in_order, line};
+use super::fault::{ConfigError, Fault, line, sort_by_line};
 use super::keys::{CLASS_KEYS, KEYS, Key, TENANT_KEYS};
 use super::layers::PLATFORM;
 use super::{Config, List, Log, Names, Vars, min_sockets, platform};
@@ -105,7 +105,7 @@
             break; // mending does not help
         }
     }
-    ConfigError(in_order(faults))
+    ConfigError(sort_by_line(faults))
 }
 
 /// The parts of a path such as `settings.classes[1].worth`.
