--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's settings object, as JSON: in the simulator's first message and in a sidecar's configuration.
-//! Unknown keys are passed over, as the platform may add some.
+//! The platform's settings object as JSON, from the simulator's first message or a sidecar's configuration.
+//! Unknown keys are ignored, as the platform may add some.
 
 use crate::api::*;
 use serde::Deserialize;
@@ -7,26 +7,26 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// No time lies beyond this many milliseconds (over thirty years).
+/// Maximum of a time in milliseconds, which is over thirty years.
 pub(crate) const MAX_MS: f64 = 1e12;
 
-/// What is wrong with a settings object.
+/// An invalid value or a syntax error in a settings object.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("{field}: {problem}")]
 pub struct SettingsFault {
-    /// The field at fault, a path below `conf`.
+    /// Path of the invalid field, beginning with `conf`.
     pub field: String,
-    /// What is wrong with it.
+    /// Why it is invalid.
     pub problem: String,
 }
 
-/// A time in milliseconds; to be checked against `MAX_MS` before.
+/// Converts milliseconds, which the caller has checked against `MAX_MS`.
 pub(crate) fn duration(ms: f64) -> Duration {
     Duration::from_micros((ms * 1000.0).round() as u64)
 }
 
-// Names of classes, tenants, zones and kinds, and the family, tell a decision nothing and are left out on
-// purpose, as are the prices of what a balancer cannot do here: fleet, moves, origin, peer.
+// The names of classes, tenants, zones and kinds, and the family, are left out on purpose as they affect no decision.
+// So are the costs of what a balancer cannot do here: fleet, moves, origin, peer.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Conf {
@@ -250,7 +250,7 @@
     1.0
 }
 
-/// Reads the settings object. A fault's field is a path below `conf`, the whole object.
+/// Parses and validates the settings object. In errors, `conf` stands for the whole object and begins a field's path.
 pub fn settings(text: &str) -> Result<Settings, SettingsFault> {
     let error = |field: String, problem: String| SettingsFault { field, problem };
     let mut json = serde_json::Deserializer::from_str(text);
@@ -260,7 +260,7 @@
         error(field, e.inner().to_string())
     })?;
     json.end().map_err(|e| error("conf".to_owned(), e.to_string()))?;
-    let time = |field: &str, ms: f64| {
+    let checked_duration = |field: &str, ms: f64| {
         if (0.0..=MAX_MS).contains(&ms) {
             Ok(duration(ms))
         } else {
@@ -269,10 +269,11 @@
     };
     let mut classes = Vec::new();
     for (i, class) in conf.classes.iter().enumerate() {
-        let time = |field: &str, ms: f64| time(&format!("classes[{i}].{field}"), ms);
+        let checked_duration =
+            |field: &str, ms: f64| checked_duration(&format!("classes[{i}].{field}"), ms);
         classes.push(Class {
-            objective: time("objectiveMs", class.objective_ms)?,
-            deadline: time("deadlineMs", class.deadline_ms)?,
+            objective: checked_duration("objectiveMs", class.objective_ms)?,
+            deadline: checked_duration("deadlineMs", class.deadline_ms)?,
             semantics: match class.semantics {
                 ConfSemantics::Safe => Semantics::Safe,
                 ConfSemantics::Unsafe => Semantics::Unsafe,
@@ -282,7 +283,7 @@
                         ConfGroup::Zone => Group::Zone,
                         ConfGroup::Cell => Group::Cell,
                     },
-                    window: time("repeatWindowMs", class.repeat_window_ms)?,
+                    window: checked_duration("repeatWindowMs", class.repeat_window_ms)?,
                 },
             },
             late_value: class.late_value,
@@ -312,24 +313,27 @@
             probes: conf.limits.probes,
             peers: conf.limits.peers,
             retry_after: conf.limits.retry_after,
-            max_retry_after: time("limits.maxRetryAfterMs", conf.limits.max_retry_after_ms)?,
+            max_retry_after: checked_duration("limits.maxRetryAfterMs", conf.limits.max_retry_after_ms)?,
             second_copies: conf.limits.second_copies,
             max_attempts: conf.limits.max_attempts,
-            connect_timeout: time("limits.connectTimeoutMs", conf.limits.connect_timeout_ms)?,
+            connect_timeout: checked_duration("limits.connectTimeoutMs", conf.limits.connect_timeout_ms)?,
             streams_per_connection: conf.limits.streams_per_conn,
-            idle_close: time("limits.idleCloseMs", conf.limits.idle_close_ms)?,
+            idle_close: checked_duration("limits.idleCloseMs", conf.limits.idle_close_ms)?,
             open_cap: conf.limits.open_cap,
-            cpu_per_s: time("limits.cpuUsPerS", conf.limits.cpu_us_per_s / 1000.0)?,
-            cpu_per_request: time("limits.cpuUsPerRequest", conf.limits.cpu_us_per_request / 1000.0)?,
+            cpu_per_s: checked_duration("limits.cpuUsPerS", conf.limits.cpu_us_per_s / 1000.0)?,
+            cpu_per_request: checked_duration(
+                "limits.cpuUsPerRequest",
+                conf.limits.cpu_us_per_request / 1000.0,
+            )?,
         },
         rules: Rules {
-            ask_within: time("rules.askWithinMs", conf.rules.ask_within_ms)?,
+            ask_within: checked_duration("rules.askWithinMs", conf.rules.ask_within_ms)?,
             cold_share: conf.rules.cold_share,
-            warm_within: time("rules.warmWithinMs", conf.rules.warm_within_ms)?,
-            drain_grace: time("rules.drainGraceMs", conf.rules.drain_grace_ms)?,
+            warm_within: checked_duration("rules.warmWithinMs", conf.rules.warm_within_ms)?,
+            drain_grace: checked_duration("rules.drainGraceMs", conf.rules.drain_grace_ms)?,
             fall_multiple: conf.rules.fall_multiple,
-            fall_after: time("rules.fallMs", conf.rules.fall_ms)?,
-            answer_grace: time("rules.graceToAnswerMs", conf.rules.grace_to_answer_ms)?,
+            fall_after: checked_duration("rules.fallMs", conf.rules.fall_ms)?,
+            answer_grace: checked_duration("rules.graceToAnswerMs", conf.rules.grace_to_answer_ms)?,
             ..Rules::default()
         },
         goal: Goal {
@@ -367,7 +371,7 @@
             ConfWeights::Rough => WeightKind::Rough,
             ConfWeights::Live => WeightKind::Live,
         },
-        tick: time("resolutionMs", conf.resolution_ms)?,
+        tick: checked_duration("resolutionMs", conf.resolution_ms)?,
         passes_deadline: conf.family_info.passes_deadline,
         warm_keys: conf.family_info.warm_keys,
         clients_mark_retries: conf.clients.marks_retry,
@@ -377,14 +381,14 @@
             error("conf.classes".to_owned(), "there must be at least one".to_owned())
         }
         SettingsError::OutOfRange { field, value } => {
-            error(format!("conf.{}", spelled(&field)), format!("{value} is out of range"))
+            error(format!("conf.{}", json_key(&field)), format!("{value} is out of range"))
         }
     })?;
     Ok(settings)
 }
 
-/// A field of the settings as the object spells it.
-fn spelled(field: &str) -> String {
+/// Translates a field name of [`Settings`] to its key in the JSON object.
+fn json_key(field: &str) -> String {
     let field = field.replace("goal.", "blend.");
     let field = match field.strip_suffix("objective").or(field.strip_suffix("deadline")) {
         Some(_) => field + "_ms",
@@ -392,9 +396,9 @@
     };
     let mut words = field.split('_');
     let first = words.next().unwrap_or_default().to_owned();
-    words.fold(first, |spelled, word| {
+    words.fold(first, |key, word| {
         let (head, tail) = word.split_at(word.len().min(1));
-        spelled + &head.to_uppercase() + tail
+        key + &head.to_uppercase() + tail
     })
 }
 
