--- a/src/config/router.rs
+++ b/src/config/router.rs
@@ -1,5 +1,6 @@
-//! What the platform tells a sidecar: a JSON file and `ROUTER_*`. Unknown keys are passed over. The first fault
-//! would end the reading: to find them all, what is at fault is replaced by what the example has there.
+//! The configuration that the platform provides: a JSON file and the variables `ROUTER_*`. Unknown keys are ignored.
+//! Parsing stops at the first fault. To find them all, each invalid value is replaced by the example's, and the file is
+//! parsed again.
 
 use super::fault::{ConfigError, Fault, in_order, line};
 use super::keys::{CLASS_KEYS, KEYS, Key, TENANT_KEYS};
@@ -13,10 +14,10 @@
 use std::net::SocketAddr;
 use tracing_subscriber::filter::Targets;
 
-/// A right file: what stands here replaces what is at fault, so that the next fault can be found.
+/// A valid file whose values replace invalid ones, so that parsing reaches the next fault.
 const EXAMPLE: &str = include_str!("example.json");
-/// Faults told of one file.
-const FAULTS_MOST: usize = 50;
+/// Maximum number of faults reported for one file.
+const MAX_FAULTS: usize = 50;
 
 #[derive(Deserialize)]
 struct File {
@@ -40,7 +41,7 @@
     sockets: usize,
 }
 
-/// The word for how lines are written.
+/// Deserializes the log format; true is JSON.
 pub(super) fn format<'de, D: Deserializer<'de>>(from: D) -> Result<bool, D::Error> {
     match String::deserialize(from)?.as_str() {
         "json" => Ok(true),
@@ -49,16 +50,16 @@
     }
 }
 
-/// Reads a file's text; `file` names it in faults.
+/// Parses the text of a file; `file` is its name in faults.
 pub(super) fn read(file: &str, text: &str, vars: &Vars) -> Result<Config, ConfigError> {
     match parse(text, vars) {
         Ok(config) => Ok(config),
         Err((key, problem)) if key.is_empty() => Err(Fault::new(file, "", problem, "").into()),
         Err(first) => {
-            let error = all(file, text, vars, first);
-            // The last list is no setting: a sidecar that can't read it learns what there is from discovery.
-            let of_list = |fault: &Fault| fault.key.split(['.', '[']).next() == Some("known");
-            match without_list(text, vars).filter(|_| error.0.iter().all(of_list)) {
+            let error = collect_faults(file, text, vars, first);
+            // The cached endpoint list is no setting: a sidecar that can't read it gets the endpoints from discovery.
+            let in_known_list = |fault: &Fault| fault.key.split(['.', '[']).next() == Some("known");
+            match parse_without_known(text, vars).filter(|_| error.0.iter().all(in_known_list)) {
                 Some(config) => Ok(Config { list_faults: error.0, ..config }),
                 None => Err(error),
             }
@@ -66,15 +67,15 @@
     }
 }
 
-/// The same without what it holds of a last list, where that is all that is at fault.
-fn without_list(text: &str, vars: &Vars) -> Option<Config> {
+/// Parses the file without its cached endpoint list; `None` if there are other faults.
+fn parse_without_known(text: &str, vars: &Vars) -> Option<Config> {
     let mut value: Value = serde_json::from_str(text).ok()?;
     value.as_object_mut()?.remove("known");
     parse(&value.to_string(), vars).ok()
 }
 
-/// Every fault, by mending one after another.
-fn all(file: &str, text: &str, vars: &Vars, first: (String, String)) -> ConfigError {
+/// Collects all faults by replacing one invalid value after another.
+fn collect_faults(file: &str, text: &str, vars: &Vars, first: (String, String)) -> ConfigError {
     let mut faults = Vec::new();
     let (Ok(mut value), Ok(example)) = (serde_json::from_str(text), serde_json::from_str(EXAMPLE)) else {
         return Fault::new(file, first.0, first.1, "").into();
@@ -82,57 +83,57 @@
     let mut vars = vars.clone();
     let mut fault = Some(first);
     while let Some((key, problem)) = fault.take() {
-        let told = (KEYS.iter().find(|known| known.json == key))
+        let variable = (KEYS.iter().find(|known| known.json == key))
             .and_then(|known| PLATFORM.iter().find(|(_, path)| *path == known.path))
             .filter(|(name, _)| vars.get(name).is_some());
-        let place = match told {
+        let place = match variable {
             Some((name, _)) => format!("${name}"),
-            None => format!("{file}:{}", locate(text, &key)),
+            None => format!("{file}:{}", line_of_path(text, &key)),
         };
-        let right = right(&example, &key);
-        let right = right.filter(|right| !right.is_object() && !right.is_array());
-        let remedy = right.map(|right| format!("such as {right}")).unwrap_or_default();
+        let valid = example_value(&example, &key);
+        let valid = valid.filter(|valid| !valid.is_object() && !valid.is_array());
+        let remedy = valid.map(|valid| format!("such as {valid}")).unwrap_or_default();
         faults.push(Fault::new(place, &key, problem, remedy));
-        match told {
+        match variable {
             Some((name, _)) => drop(vars.0.remove(*name)),
-            None if !mend(&mut value, &example, &key) => break,
+            None if !replace_with_example(&mut value, &example, &key) => break,
             None => {}
         }
-        if faults.len() < FAULTS_MOST {
+        if faults.len() < MAX_FAULTS {
             fault = parse(&value.to_string(), &vars).err();
         }
-        if fault.as_ref().is_some_and(|(next, _)| *next == key && told.is_none()) {
-            break; // mending does not help
+        if fault.as_ref().is_some_and(|(next, _)| *next == key && variable.is_none()) {
+            break; // the example's value did not remove the fault
         }
     }
     ConfigError(in_order(faults))
 }
 
-/// The parts of a path such as `settings.classes[1].worth`.
-fn parts(path: &str) -> impl Iterator<Item = &str> {
+/// The segments of a path such as `settings.classes[1].worth`.
+fn path_segments(path: &str) -> impl Iterator<Item = &str> {
     path.split(['.', '[', ']']).filter(|part| !part.is_empty())
 }
 
 fn child<'a>(value: &'a Value, part: &str) -> Option<&'a Value> {
     match value {
         Value::Object(map) => map.get(part),
-        // The example has one entry of each list.
+        // The example has only one entry in each list, which stands for any index.
         Value::Array(list) => part.parse::<usize>().ok().and_then(|i| list.get(i).or(list.first())),
         _ => None,
     }
 }
 
-/// What the example has at a path.
-fn right<'a>(example: &'a Value, path: &str) -> Option<&'a Value> {
-    parts(path).try_fold(example, |value, part| child(value, part))
+/// The example's value at a path.
+fn example_value<'a>(example: &'a Value, path: &str) -> Option<&'a Value> {
+    path_segments(path).try_fold(example, |value, part| child(value, part))
 }
 
-/// Puts what the example has at a path there; whether it has anything.
-fn mend(value: &mut Value, example: &Value, path: &str) -> bool {
-    let Some(right) = right(example, path).cloned() else { return false };
-    let mut place = value;
-    for part in parts(path) {
-        let next = match place {
+/// Replaces the value at a path by the example's; returns false if the example has none or the path can't be followed.
+fn replace_with_example(value: &mut Value, example: &Value, path: &str) -> bool {
+    let Some(valid) = example_value(example, path).cloned() else { return false };
+    let mut target = value;
+    for part in path_segments(path) {
+        let next = match target {
             Value::Object(map) => Some(map.entry(part).or_insert(Value::Null)),
             Value::Array(list) => part.parse::<usize>().ok().and_then(|i| list.get_mut(i)),
             other => {
@@ -141,16 +142,16 @@
             }
         };
         let Some(next) = next else { return false };
-        place = next;
+        target = next;
     }
-    *place = right;
+    *target = valid;
     true
 }
 
-/// The line of what stands at a path, or of the nearest that does.
-fn locate(text: &str, path: &str) -> usize {
+/// The line of the value at a path, or of its nearest ancestor in the file.
+fn line_of_path(text: &str, path: &str) -> usize {
     let mut here = text;
-    for part in parts(path) {
+    for part in path_segments(path) {
         let next = match part.parse::<usize>() {
             Ok(i) if here.trim_start().starts_with('[') => serde_json::from_str::<Vec<&RawValue>>(here)
                 .ok()
@@ -167,31 +168,31 @@
     line(text, &(start..start))
 }
 
-/// The first fault, with its path in the file; no path where it is no JSON.
+/// Parses the file, or returns the path and description of the first fault; the path is empty if the text is not JSON.
 fn parse(text: &str, vars: &Vars) -> Result<Config, (String, String)> {
     let mut json = serde_json::Deserializer::from_str(text);
-    let file: File = serde_path_to_error::deserialize(&mut json).map_err(|e| named(e, ""))?;
+    let file: File = serde_path_to_error::deserialize(&mut json).map_err(|e| serde_fault(e, ""))?;
     json.end().map_err(|e| (String::new(), e.to_string()))?;
     let settings = platform::settings(&file.settings.to_string())
-        .map_err(|e| (in_settings(&e.field, &e.problem), unplaced(&e.problem)))?;
+        .map_err(|e| (settings_path(&e.field, &e.problem), without_position(&e.problem)))?;
     let names: Names =
-        serde_path_to_error::deserialize(&file.settings).map_err(|e| named(e, "settings"))?;
+        serde_path_to_error::deserialize(&file.settings).map_err(|e| serde_fault(e, "settings"))?;
     let control = match vars.get("ROUTER_CONTROL").or(file.control) {
-        Some(text) => Some(address("control", Some(text))?),
+        Some(text) => Some(parse_address("control", Some(text))?),
         None => None,
     };
-    let least = min_sockets(control.is_some());
-    if file.limits.sockets < least {
-        return Err(("limits.sockets".to_owned(), format!("at least {least} are needed")));
+    let required = min_sockets(control.is_some());
+    if file.limits.sockets < required {
+        return Err(("limits.sockets".to_owned(), format!("at least {required} are needed")));
     }
     if file.log.level.parse::<Targets>().is_err() {
         return Err(("log.level".to_owned(), format!("`{}` is no level", file.log.level)));
     }
     Ok(Config {
         name: vars.get("ROUTER_NAME").unwrap_or(file.name),
-        listen: address("listen", vars.get("ROUTER_LISTEN").or(file.listen))?,
+        listen: parse_address("listen", vars.get("ROUTER_LISTEN").or(file.listen))?,
         control,
-        discovery: address("discovery", vars.get("ROUTER_DISCOVERY").or(file.discovery))?,
+        discovery: parse_address("discovery", vars.get("ROUTER_DISCOVERY").or(file.discovery))?,
         seed: u64::from_str_radix(&file.seed, 16)
             .map_err(|_| ("seed".to_owned(), format!("`{}` is not hex", file.seed)))?,
         sockets: file.limits.sockets,
@@ -207,47 +208,47 @@
     })
 }
 
-/// A fault that serde found, by its path; that of a missing field names the field.
-fn named(e: serde_path_to_error::Error<serde_json::Error>, under: &str) -> (String, String) {
+/// Path and description of a serde error; the path includes the name of a missing field.
+fn serde_fault(e: serde_path_to_error::Error<serde_json::Error>, under: &str) -> (String, String) {
     let problem = e.inner().to_string();
     if e.inner().is_syntax() || e.inner().is_eof() {
         return (String::new(), problem);
     }
-    // The place is told by the fault itself; serde's is that of the text as mended so far.
-    let problem = unplaced(&problem);
+    // serde's position refers to the text with the values replaced so far; the fault has its own.
+    let problem = without_position(&problem);
     let path = e.path().to_string();
     let path = if path == "." { "" } else { &path };
-    (joined(&[under, path, missing(&problem)]), problem)
+    (join_path(&[under, path, missing_field(&problem)]), problem)
 }
 
-fn unplaced(problem: &str) -> String {
+fn without_position(problem: &str) -> String {
     problem.split(" at line ").next().unwrap_or_default().to_owned()
 }
 
-/// The path of a fault of the settings object, in the file.
-fn in_settings(field: &str, problem: &str) -> String {
-    joined(&[
+/// Path in the file of a fault in the settings object.
+fn settings_path(field: &str, problem: &str) -> String {
+    join_path(&[
         "settings",
         field.strip_prefix("conf").unwrap_or(field).trim_start_matches('.'),
-        missing(problem),
+        missing_field(problem),
     ])
 }
 
-/// The field that serde misses, if that is the problem.
-fn missing(problem: &str) -> &str {
+/// The name in serde's message of a missing field; empty for other messages.
+fn missing_field(problem: &str) -> &str {
     problem.strip_prefix("missing field `").and_then(|rest| rest.split('`').next()).unwrap_or_default()
 }
 
-fn joined(parts: &[&str]) -> String {
+fn join_path(parts: &[&str]) -> String {
     parts.iter().filter(|part| !part.is_empty()).copied().collect::<Vec<_>>().join(".")
 }
 
-fn address(field: &str, text: Option<String>) -> Result<SocketAddr, (String, String)> {
+fn parse_address(field: &str, text: Option<String>) -> Result<SocketAddr, (String, String)> {
     let text = text.ok_or_else(|| (field.to_owned(), "missing".to_owned()))?;
     text.parse().map_err(|_| (field.to_owned(), format!("`{text}` is not an address and port")))
 }
 
-/// Where the values of a file of the platform come from, by the keys of an operator's.
+/// The origins of the values of a platform file, by the keys of the operator's format.
 pub(super) fn origins(
     file: &str,
     text: &str,
@@ -255,31 +256,31 @@
     entries: &[(String, String)],
 ) -> BTreeMap<String, String> {
     let value: Value = serde_json::from_str(text).unwrap_or_default();
-    let place = |key: &str| {
-        let told = PLATFORM.iter().find(|(name, path)| *path == key && vars.get(name).is_some());
-        if let Some((name, _)) = told {
+    let find_origin = |key: &str| {
+        let variable = PLATFORM.iter().find(|(name, path)| *path == key && vars.get(name).is_some());
+        if let Some((name, _)) = variable {
             return Some(format!("${name}"));
         }
         let json = json_path(key)?;
-        parts(&json).try_fold(&value, |value, part| match value {
+        path_segments(&json).try_fold(&value, |value, part| match value {
             Value::Array(list) => list.get(part.parse::<usize>().ok()?),
             other => other.get(part),
         })?;
-        Some(format!("{file}:{} {json}", locate(text, &json)))
+        Some(format!("{file}:{} {json}", line_of_path(text, &json)))
     };
-    let origin = |key: &str| place(key).unwrap_or_else(|| "default".to_owned());
+    let origin = |key: &str| find_origin(key).unwrap_or_else(|| "default".to_owned());
     entries.iter().map(|(key, _)| (key.clone(), origin(key))).collect()
 }
 
-/// Where the platform's file has what a key says.
+/// Path in the platform's file of the value of an operator's key.
 fn json_path(key: &str) -> Option<String> {
     let json =
         |keys: &[Key], name: &str| keys.iter().find(|known| known.path == name).map(|known| known.json);
-    for (list, within, keys) in
+    for (list, prefix, keys) in
         [("class[", "settings.classes", CLASS_KEYS), ("tenant[", "settings.tenants", TENANT_KEYS)]
     {
         if let Some((number, name)) = key.strip_prefix(list).and_then(|rest| rest.split_once("].")) {
-            return Some(format!("{within}[{number}].{}", json(keys, name)?));
+            return Some(format!("{prefix}[{number}].{}", json(keys, name)?));
         }
     }
     json(KEYS, key).map(str::to_owned)
