--- a/src/config/list.rs
+++ b/src/config/list.rs
@@ -1,46 +1,46 @@
-//! The endpoint list as discovery words it; a configuration carries the one last held, and a watch brings
-//! lists one behind the other.
+//! The endpoint list in discovery's JSON format. A configuration carries the list that was last in use, and a watch
+//! streams lists one after another.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// No list, and nothing that may yet become one, is longer than this many bytes.
+/// Maximum size of a list in bytes, complete or not; bounds the memory that a watch can take.
 pub const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// A list as discovery words it.
+/// An endpoint list in discovery's format.
 #[derive(Debug, Default, Deserialize)]
 pub struct List {
-    /// Its version; grows with each change.
+    /// Version; increases with each change.
     pub rev: u64,
-    /// The whole list, not only what has changed.
+    /// Whether this is the full list rather than only the changes.
     pub all: bool,
-    /// Its entries.
+    /// The endpoints, or the changed ones.
     pub targets: Vec<Target>,
 }
 
-/// An endpoint as discovery words it.
+/// An endpoint in discovery's format.
 #[derive(Debug, Deserialize)]
 pub struct Target {
     /// The endpoint's name, the same for all sidecars.
     pub uid: String,
-    /// Where it listens.
+    /// Address and port on which it listens.
     pub endpoint: SocketAddr,
-    /// Its zone.
+    /// Name of its zone.
     #[serde(default)]
     pub az: String,
-    /// Its machine kind.
+    /// Name of its machine kind.
     #[serde(default)]
     pub model: String,
-    /// The small group that it shares repeat keys with.
+    /// Its cell: the small group of endpoints that share idempotency keys.
     #[serde(default)]
     pub pod_group: u64,
-    /// Its state.
+    /// Whether it takes requests.
     pub state: State,
-    /// Its nominal capacity, 1 being usual.
+    /// Nominal capacity relative to the usual 1.
     #[serde(default = "one")]
     pub capacity_hint: f64,
-    /// When it last started, in milliseconds of Unix time; 0 where that was long ago.
+    /// Unix time of its last start in milliseconds; 0 if that was long ago.
     #[serde(default)]
     pub boot_ms: f64,
 }
@@ -49,62 +49,65 @@
     1.0
 }
 
-/// An endpoint's state as discovery words it.
+/// State of an endpoint in discovery's format.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Takes requests.
+    /// Accepts requests.
     Up,
-    /// Completes what it holds, and takes nothing new.
+    /// Completes the requests that it has and accepts no new ones.
     Draining,
-    /// Gone; only among changes.
+    /// No longer in the list; appears only in a list of changes.
     Removed,
 }
 
-/// What a watch brought that is no list.
+/// Why the data of a watch can't be read as a list.
 #[derive(Debug, Error)]
 pub enum ListFault {
-    /// It can't become a list any more.
-    #[error("the watch brought what is no list: {0}")]
+    /// The data is not a list, nor the beginning of one.
+    #[error("the watch sent a malformed endpoint list: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// It has not become a list within [`MAX_LIST_BYTES`].
-    #[error("the watch brought a list of over {MAX_LIST_BYTES} bytes")]
+    /// The list is not complete after [`MAX_LIST_BYTES`].
+    #[error("the watch sent an endpoint list of more than {MAX_LIST_BYTES} bytes")]
     TooLong,
 }
 
-/// Bytes that may be read in vain for each that there is, and so many beside: enough to find at once that a list was
-/// broken off and another one has begun in it, and not the square of a long one of which each entry ends a line.
-const VAIN_TIMES: usize = 8;
-const VAIN_FREE: usize = 64 << 10;
+/// Limit on the bytes read by trial parses of an incomplete list: this many per buffered byte, plus `TRIAL_BASE_BYTES`.
+/// It is enough to detect at once that a list was truncated and another one begun in it, and it keeps the cost of a long
+/// list with a line per entry from growing with the square of its length.
+const TRIAL_FACTOR: usize = 8;
+const TRIAL_BASE_BYTES: usize = 64 << 10;
 
-/// Puts lists together that come one behind the other in pieces, each laid out in one line or in many.
+/// Assembles lists from a stream of chunks. A list may be formatted on one line or on several.
 #[derive(Default)]
 pub struct ListReader {
-    text: Vec<u8>,
+    buffer: Vec<u8>,
     scan: Scan,
-    /// Bytes read in vain since the last whole list.
-    vain: usize,
+    /// Bytes read by trial parses since the last complete list.
+    trial_bytes: usize,
 }
 
 impl ListReader {
-    /// Takes a piece, and gives the lists that are whole with it. After a fault nothing more can be read.
-    pub fn take(&mut self, piece: &[u8]) -> Result<Vec<List>, ListFault> {
-        self.text.extend_from_slice(piece);
-        let (mut lists, mut read) = (Vec::new(), 0);
-        while let Some(end) = self.scan.next_end(&self.text) {
-            lists.push(serde_json::from_slice(&self.text[read..end])?);
-            (read, self.vain) = (end, 0);
+    /// Adds a chunk and returns the lists that it completes. The reader can't be used after an error.
+    pub fn take(&mut self, chunk: &[u8]) -> Result<Vec<List>, ListFault> {
+        self.buffer.extend_from_slice(chunk);
+        let (mut lists, mut consumed) = (Vec::new(), 0);
+        while let Some(end) = self.scan.next_end(&self.buffer) {
+            lists.push(serde_json::from_slice(&self.buffer[consumed..end])?);
+            (consumed, self.trial_bytes) = (end, 0);
         }
         if !self.is_incomplete() {
-            read = self.text.len(); // blank
+            consumed = self.buffer.len(); // only whitespace is left
         }
-        self.text.drain(..read);
-        self.scan.at -= read;
-        // One that was broken off ends only by its fault, which shows once the next one has come.
-        let size = self.text.len();
-        if std::mem::take(&mut self.scan.suspect) && self.vain <= VAIN_TIMES * size + VAIN_FREE {
-            self.vain += size;
-            if let Err(e) = serde_json::from_slice::<List>(&self.text)
+        self.buffer.drain(..consumed);
+        self.scan.offset -= consumed;
+        // A truncated list never ends; it becomes a syntax error once the next list follows it.
+        let size = self.buffer.len();
+        if std::mem::take(&mut self.scan.maybe_truncated)
+            && self.trial_bytes <= TRIAL_FACTOR * size + TRIAL_BASE_BYTES
+        {
+            self.trial_bytes += size;
+            if let Err(e) = serde_json::from_slice::<List>(&self.buffer)
                 && !e.is_eof()
             {
                 return Err(e.into());
@@ -113,34 +116,35 @@
         if size > MAX_LIST_BYTES { Err(ListFault::TooLong) } else { Ok(lists) }
     }
 
-    /// A list has begun and not ended.
+    /// Whether a list has begun and not ended.
     pub fn is_incomplete(&self) -> bool {
         self.scan.depth > 0
     }
 }
 
-/// How far a text was looked through for the ends of lists, each byte once.
+/// State of the search for the ends of lists, which looks at each byte once.
 #[derive(Default)]
 struct Scan {
-    at: usize,
+    offset: usize,
     depth: usize,
-    quoted: bool,
+    in_string: bool,
     escaped: bool,
-    /// The last that was no blank is a closing brace.
-    closed: bool,
-    /// A line has ended as a list does, or in a name, and the list has not.
-    suspect: bool,
+    /// The last byte that is not whitespace is a closing brace.
+    after_brace: bool,
+    /// A line ended after a closing brace or within a string while the list is incomplete, so it may be truncated.
+    maybe_truncated: bool,
 }
 
 impl Scan {
-    /// Looks on, up to the next end of a list. What stands between lists and is not blank ends one that is none.
+    /// Scans on to the next end of a list and returns its offset. A byte between lists that is not whitespace counts as
+    /// such an end, so that parsing up to it reports the error.
     fn next_end(&mut self, text: &[u8]) -> Option<usize> {
-        while let Some(&byte) = text.get(self.at) {
-            self.at += 1;
-            self.suspect |= byte == b'\n' && self.depth > 0 && (self.closed || self.quoted);
-            self.closed = byte == b'}' || self.closed && byte.is_ascii_whitespace();
-            if self.quoted {
-                self.quoted = self.escaped || byte != b'"';
+        while let Some(&byte) = text.get(self.offset) {
+            self.offset += 1;
+            self.maybe_truncated |= byte == b'\n' && self.depth > 0 && (self.after_brace || self.in_string);
+            self.after_brace = byte == b'}' || self.after_brace && byte.is_ascii_whitespace();
+            if self.in_string {
+                self.in_string = self.escaped || byte != b'"';
                 self.escaped = !self.escaped && byte == b'\\';
                 continue;
             }
@@ -149,13 +153,13 @@
                 b'}' | b']' => {
                     self.depth = self.depth.saturating_sub(1);
                     if self.depth == 0 {
-                        self.suspect = false;
-                        return Some(self.at);
+                        self.maybe_truncated = false;
+                        return Some(self.offset);
                     }
                 }
-                _ if self.depth > 0 => self.quoted = byte == b'"',
+                _ if self.depth > 0 => self.in_string = byte == b'"',
                 _ if byte.is_ascii_whitespace() => {}
-                _ => return Some(self.at),
+                _ => return Some(self.offset),
             }
         }
         None
