--- a/src/config/fault.rs
+++ b/src/config/fault.rs
@@ -58,7 +58,8 @@
     1 + text.as_bytes()[..span.start.min(text.len())].iter().filter(|&&byte| byte == b'\n').count()
 }
 
-/// Returns "did you mean `x`?" for the most similar known name, or an empty string if none is similar enough.
+/// Returns "did you mean `x`?" for the most similar known name, or an empty string if none is similar
+/// enough.
 pub(super) fn suggest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> String {
     let similarity = |other: &&str| (strsim::jaro_winkler(name, other) * 1000.0) as u32;
     let best_match = known.max_by_key(similarity).filter(|other| similarity(other) >= 780);
--- a/src/config/layers.rs
+++ b/src/config/layers.rs
@@ -5,8 +5,8 @@
 use config::{Environment, Map, Source, Value, ValueKind};
 use toml::de::{DeTable, DeValue};
 
-/// Environment variables set by the platform, each with the key that it overrides. They take precedence over the
-/// operator's own variables.
+/// Environment variables set by the platform, each with the key that it overrides. They take precedence
+/// over the operator's own variables.
 pub(super) const PLATFORM: [(&str, &str); 4] = [
     ("ROUTER_NAME", "name"),
     ("ROUTER_LISTEN", "listen.clients"),
@@ -91,8 +91,8 @@
     Value::new(Some(&origin.to_owned()), kind)
 }
 
-/// The origin of a value. Merging layers drops the origin of a section but keeps those of its keys, so that a
-/// section falls back to the first of these.
+/// The origin of a value. Merging layers drops the origin of a section but keeps those of its keys, so that
+/// a section falls back to the first of these.
 pub(super) fn origin(value: &Value) -> String {
     let nested = || match &value.kind {
         ValueKind::Table(table) => table.values().map(origin).min(),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,5 +1,6 @@
-//! One typed configuration, read from the platform's JSON (`router`, with the settings object in `platform`) or
-//! from an operator's TOML (`layers`, `operator`, by the tables in `keys`). All faults are reported, with locations.
+//! One typed configuration, read from the platform's JSON (`router`, with the settings object in
+//! `platform`) or from an operator's TOML (`layers`, `operator`, by the tables in `keys`). All faults are
+//! reported, with locations.
 
 mod fault;
 pub mod keys;
@@ -135,8 +136,8 @@
 }
 
 impl Config {
-    /// Reads a file: as TOML if its extension is `toml` or it doesn't begin with a brace, else as the platform's
-    /// JSON. Environment variables override the file.
+    /// Reads a file: as TOML if its extension is `toml` or it doesn't begin with a brace, else as the
+    /// platform's JSON. Environment variables override the file.
     pub fn load(file: &Path, vars: &Vars) -> Result<Self, ConfigError> {
         let file_name = file.display().to_string();
         let text = read_consistent(file)
@@ -231,8 +232,8 @@
         entries
     }
 
-    /// The origin of each key's value: a file and line, an environment variable, or `default`. `file` and `vars`
-    /// must be those that the configuration was read from.
+    /// The origin of each key's value: a file and line, an environment variable, or `default`. `file` and
+    /// `vars` must be those that the configuration was read from.
     pub fn origins(&self, file: &Path, vars: &Vars) -> BTreeMap<String, String> {
         match (&self.origins, read_consistent(file)) {
             (Some(origins), _) => origins.clone(),
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,5 +1,6 @@
-//! An operator's configuration: TOML, overridden by environment variables, over defaults. All faults of keys and
-//! values are reported together; whether values are consistent is checked only when there are none.
+//! An operator's configuration: TOML, overridden by environment variables, over defaults. All faults of
+//! keys and values are reported together; whether values are consistent is checked only when there are
+//! none.
 
 use super::fault::{ConfigError, Fault, line, sort_by_line, suggest};
 use super::keys::{CLASS_KEYS, DefaultValue, KEYS, Key, Kind, RESERVED, TABLES, TENANT_KEYS};
